--- a/src/errors.cpp
+++ b/src/base/errors.cpp
@@ -1,11 +1,11 @@
-#include "errors.hpp"
+#include "base/errors.hpp"
 
 #include <array>
 
-namespace merlin {
+namespace merlingauge {
 
 namespace {
-constexpr std::array<ErrorAnswer, static_cast<std::size_t>(ErrorKind::count_)> kTable = {{
+constexpr std::array<ErrorResponse, static_cast<std::size_t>(ErrorKind::count_)> kTable = {{
     {400, "Bad Request", "the request is not well formed", true, true, 0},
     {431, "Request Header Fields Too Large", "the head is too large", true, true, 0},
     {413, "Payload Too Large", "the body is too large", true, true, 0},
@@ -34,6 +34,8 @@
 }};
 }  // namespace
 
-const ErrorAnswer& answerFor(ErrorKind kind) { return kTable.at(static_cast<std::size_t>(kind)); }
+const ErrorResponse& responseFor(ErrorKind kind) {
+  return kTable.at(static_cast<std::size_t>(kind));
+}
 
-}  // namespace merlin
+}  // namespace merlingauge
--- a/src/process/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// merlinhut: the one program of merlingauge.
+// The command line of the one program, merlingauge.
 #include <Poco/AutoPtr.h>
 #include <Poco/ConsoleChannel.h>
 #include <Poco/Exception.h>
@@ -24,15 +24,15 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "process/bell.hpp"
-#include "process/settings.hpp"
-#include "process/snapshot.hpp"
-#include "process/warden.hpp"
-#include "version/chart.hpp"
+#include "config/route_table.hpp"
+#include "event/event_loop.hpp"
+#include "node/node.hpp"
+#include "node/settings.hpp"
+#include "storage/state_snapshot.hpp"
 
 namespace {
 
-using merlin::hut::Bell;
+using merlingauge::event::EventLoop;
 using Poco::Util::Application;
 using Poco::Util::Option;
 
@@ -47,9 +47,9 @@
   [[maybe_unused]] const auto sent = ::write(gWake, &byte, 1);
 }
 
-class Merlinhut : public Application {
+class MerlingaugeApplication : public Application {
  public:
-  Merlinhut() { setUnixOptions(true); }
+  MerlingaugeApplication() { setUnixOptions(true); }
 
  protected:
   void defineOptions(Poco::Util::OptionSet& options) override {
@@ -78,7 +78,7 @@
 
   int main(const ArgVec& args) override {
     if (version_) {
-      std::cout << "merlinhut " << MERLIN_VERSION << "\n";
+      std::cout << "merlingauge " << MERLINGAUGE_VERSION << "\n";
       return EXIT_OK;
     }
     if (help_ || args.empty()) {
@@ -90,12 +90,12 @@
     if (args[0] == "config" && args.size() == 2 && args[1] == "get") return configGet();
     if (args[0] == "config" && args.size() == 3 && args[1] == "put") return configPut(args[2]);
     if (args[0] == "state" && args.size() == 3) {
-      if (args[1] == "show") return told(merlin::hut::showSnapshot(args[2]));
+      if (args[1] == "show") return told(merlingauge::storage::showSnapshot(args[2]));
       if (args[1] == "save" && !data_.empty()) {
-        return told(merlin::hut::saveSnapshot(args[2], data_));
+        return told(merlingauge::storage::saveSnapshot(args[2], data_));
       }
       if (args[1] == "restore" && !data_.empty()) {
-        return told(merlin::hut::restoreSnapshot(args[2], data_, force_));
+        return told(merlingauge::storage::restoreSnapshot(args[2], data_, force_));
       }
     }
     if (args[0] == "status" && args.size() == 1) return get("/v1/Status");
@@ -107,7 +107,7 @@
   void usage() const {
     Poco::Util::HelpFormatter formatter(options());
     formatter.setUnixStyle(true);
-    formatter.setCommand("merlinhut");
+    formatter.setCommand("merlingauge");
     formatter.setUsage("[options] COMMAND");
     formatter.setHeader(
         "\nnode             run a node; MERLINGAUGE_SETTINGS names its settings file\n"
@@ -126,31 +126,31 @@
     ::mallopt(M_ARENA_MAX, 1);
     openLog();
     const char* path = std::getenv("MERLINGAUGE_SETTINGS");
-    auto read = merlin::hut::readSettings(path == nullptr ? "" : path);
+    auto read = merlingauge::node::loadSettings(path == nullptr ? "" : path);
     if (!read.settings) {
-      std::cerr << "merlinhut: " << read.problem << "\n";
+      std::cerr << "merlingauge: " << read.error << "\n";
       return EXIT_CONFIG;
     }
     std::signal(SIGPIPE, SIG_IGN);
     try {
-      Bell bell;
-      gWake = bell.wakeEnd();
+      EventLoop loop;
+      gWake = loop.wakeDescriptor();
       std::signal(SIGTERM, onSignal);
       std::signal(SIGINT, onSignal);
       std::signal(SIGHUP, onSignal);
-      merlin::hut::Warden warden(bell, *read.settings, path);
-      bell.eachTurn([&warden] {
+      merlingauge::node::Node node(loop, *read.settings, path);
+      loop.setTurnHook([&node] {
         const int signals = gSignals.exchange(0);
-        if ((signals & kTerm) != 0) warden.stop();
-        if ((signals & kHup) != 0) warden.reread();
+        if ((signals & kTerm) != 0) node.stop();
+        if ((signals & kHup) != 0) node.reloadSettings();
       });
-      warden.start();
-      bell.run();
+      node.start();
+      loop.run();
     } catch (const Poco::Exception& problem) {
-      std::cerr << "merlinhut: " << problem.displayText() << "\n";
+      std::cerr << "merlingauge: " << problem.displayText() << "\n";
       return EXIT_SOFTWARE;
     } catch (const std::exception& problem) {
-      std::cerr << "merlinhut: " << problem.what() << "\n";
+      std::cerr << "merlingauge: " << problem.what() << "\n";
       return EXIT_SOFTWARE;
     }
     return EXIT_OK;
@@ -165,21 +165,21 @@
     Poco::Logger::root().setLevel(level_);
   }
 
-  static int told(const merlin::hut::SnapshotDone& done) {
-    using End = merlin::hut::SnapshotDone::End;
-    if (done.end == End::done) {
-      std::cout << done.text << "\n";
+  static int told(const merlingauge::storage::SnapshotResult& done) {
+    using End = merlingauge::storage::SnapshotResult::Status;
+    if (done.status == End::ok) {
+      std::cout << done.message << "\n";
       return EXIT_OK;
     }
-    std::cerr << "merlinhut: " << done.text << "\n";
-    switch (done.end) {
-      case End::noInput:
+    std::cerr << "merlingauge: " << done.message << "\n";
+    switch (done.status) {
+      case End::inputMissing:
         return EXIT_NOINPUT;
-      case End::badData:
+      case End::corrupt:
         return EXIT_DATAERR;
-      case End::taken:
+      case End::directoryNotEmpty:
         return EXIT_CANTCREAT;
-      case End::busy:
+      case End::directoryInUse:
         return EXIT_TEMPFAIL;
       default:
         return EXIT_IOERR;
@@ -198,18 +198,18 @@
     bool ok = false;
     const auto text = contents(path, ok);
     if (!ok) {
-      std::cerr << "merlinhut: can't read " << path << "\n";
+      std::cerr << "merlingauge: can't read " << path << "\n";
       return EXIT_NOINPUT;
     }
     const auto document = nlohmann::json::parse(text, nullptr, false);
     std::string problem;
     if (document.is_object() && document.contains("route_rules")) {
-      problem = merlin::cairn::Chart::read(document).problem;
+      problem = merlingauge::config::RouteTable::parse(document).error;
     } else {
-      problem = merlin::hut::parseSettings(text).problem;
+      problem = merlingauge::node::parseSettings(text).error;
     }
     if (!problem.empty()) {
-      std::cerr << "merlinhut: " << path << ": " << problem << "\n";
+      std::cerr << "merlingauge: " << path << ": " << problem << "\n";
       return EXIT_DATAERR;
     }
     std::cout << path << ": ok\n";
@@ -240,13 +240,13 @@
                            status == Poco::Net::HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE;
       return order && invalid ? EXIT_DATAERR : EXIT_UNAVAILABLE;
     } catch (const Poco::Exception& problem) {
-      std::cerr << "merlinhut: " << problem.displayText() << "\n";
+      std::cerr << "merlingauge: " << problem.displayText() << "\n";
       return order && sent ? unclear() : EXIT_UNAVAILABLE;
     }
   }
 
   static int unclear() {
-    std::cerr << "merlinhut: no clear answer, send the same again\n";
+    std::cerr << "merlingauge: no clear answer, send the same again\n";
     return EXIT_TEMPFAIL;
   }
 
@@ -261,7 +261,7 @@
     bool ok = false;
     const auto text = contents(path, ok);
     if (!ok) {
-      std::cerr << "merlinhut: can't read " << path << "\n";
+      std::cerr << "merlingauge: can't read " << path << "\n";
       return EXIT_NOINPUT;
     }
     Poco::Net::HTTPRequest request("POST", "/v1/Configuration.Replace", "HTTP/1.1");
@@ -281,4 +281,4 @@
 
 }  // namespace
 
-POCO_APP_MAIN(Merlinhut)
+POCO_APP_MAIN(MerlingaugeApplication)
--- a/src/version/history.cpp
+++ b/src/config/change_history.cpp
@@ -1,11 +1,13 @@
-#include "version/history.hpp"
+#include "config/change_history.hpp"
 
 #include <algorithm>
 #include <limits>
 #include <stdexcept>
 #include <utility>
 
-namespace merlin::cairn {
+#include "base/hash.hpp"
+
+namespace merlingauge::config {
 
 namespace {
 constexpr std::string_view kLetters =
@@ -14,7 +16,7 @@
 constexpr unsigned kLetterBits = 6;
 constexpr unsigned kStepBits = 5;  // the sixth says that more follows
 
-std::uint64_t fold(std::uint64_t id, const History::Entry& entry) {
+std::uint64_t fold(std::uint64_t id, const ChangeHistory::Entry& entry) {
   for (const std::uint64_t word :
        {static_cast<std::uint64_t>(entry.revision.value), entry.digest}) {
     id = (id ^ word) * 0x9e3779b97f4a7c15ULL;
@@ -25,7 +27,7 @@
   return id;
 }
 
-void write(Revision before, const History::Entry& entry, std::string& out) {
+void write(Revision before, const ChangeHistory::Entry& entry, std::string& out) {
   auto step = static_cast<std::uint64_t>(entry.revision.value - before.value);
   constexpr std::uint64_t kMore = 1U << kStepBits;
   for (; step >= kMore; step >>= kStepBits) out += kLetters[(step & (kMore - 1)) | kMore];
@@ -42,9 +44,9 @@
   return at;
 }
 
-std::vector<History::Entry> read(Revision before, std::string_view in) {
+std::vector<ChangeHistory::Entry> read(Revision before, std::string_view in) {
   constexpr std::uint64_t kMore = 1U << kStepBits;
-  std::vector<History::Entry> out;
+  std::vector<ChangeHistory::Entry> out;
   while (!in.empty()) {
     std::uint64_t step = 0;
     for (unsigned shift = 0;; shift += kStepBits) {
@@ -56,31 +58,33 @@
     const auto room = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max() -
                                                  std::max<std::int64_t>(before.value, 0));
     if (step == 0 || step > room) throw std::out_of_range("a history that doesn't rise");
-    History::Entry entry{Revision{before.value + static_cast<std::int64_t>(step)}, 0};
+    ChangeHistory::Entry entry{Revision{before.value + static_cast<std::int64_t>(step)}, 0};
     for (int i = 0; i < kDigestLetters; ++i) {
       entry.digest |= letter(in) << (kLetterBits * static_cast<unsigned>(i));
     }
     before = entry.revision;
     out.push_back(entry);
-    if (out.size() > History::kMost) throw std::out_of_range("a history that is too long");
+    if (out.size() > ChangeHistory::kMaxEntries)
+      throw std::out_of_range("a history that is too long");
   }
   return out;
 }
 }  // namespace
 
-History::History(Revision floor)
-    : History(floor, mixHash("floor " + std::to_string(floor.value)), {}) {}
+ChangeHistory::ChangeHistory(Revision floor)
+    : ChangeHistory(floor, stableHash("floor " + std::to_string(floor.value)), {}) {}
 
-History::History(Revision floor, std::uint64_t seed, std::vector<Entry> entries)
+ChangeHistory::ChangeHistory(Revision floor, std::uint64_t seed, std::vector<Entry> entries)
     : floor_(floor), seed_(seed), id_(seed), entries_(std::move(entries)) {
   for (const auto& entry : entries_) id_ = fold(id_, entry);
 }
 
-History::Ptr History::unpack(Revision floor, std::uint64_t seed, std::string_view letters) {
-  return Ptr(new History(floor, seed, read(floor, letters)));
+ChangeHistory::Ptr ChangeHistory::unpack(Revision floor, std::uint64_t seed,
+                                         std::string_view letters) {
+  return Ptr(new ChangeHistory(floor, seed, read(floor, letters)));
 }
 
-void History::cutOff(std::size_t count) {
+void ChangeHistory::truncate(std::size_t count) {
   const auto end = entries_.begin() + static_cast<std::ptrdiff_t>(count);
   for (auto it = entries_.begin(); it != end; ++it) {
     seed_ = fold(seed_, *it);
@@ -89,48 +93,49 @@
   entries_.erase(entries_.begin(), end);
 }
 
-History::Ptr History::with(Entry entry, std::size_t most) const {
+ChangeHistory::Ptr ChangeHistory::extendedBy(Entry entry, std::size_t most) const {
   auto entries = entries_;
   entries.push_back(entry);
-  auto* made = new History(floor_, seed_, std::move(entries));
+  auto* made = new ChangeHistory(floor_, seed_, std::move(entries));
   Ptr out(made);
-  made->cutOff(made->entries_.size() - std::min(made->entries_.size(), most));
+  made->truncate(made->entries_.size() - std::min(made->entries_.size(), most));
   return out;
 }
 
-History::Ptr History::append(std::string_view letters, Revision floor, std::uint64_t id) const {
+ChangeHistory::Ptr ChangeHistory::appendPacked(std::string_view letters, Revision floor,
+                                               std::uint64_t id) const {
   auto entries = entries_;
-  const auto more = read(last(), letters);
+  const auto more = read(lastRevision(), letters);
   entries.insert(entries.end(), more.begin(), more.end());
-  auto* made = new History(floor_, seed_, std::move(entries));
+  auto* made = new ChangeHistory(floor_, seed_, std::move(entries));
   Ptr out(made);
   std::size_t below = 0;
   while (below < made->entries_.size() && made->entries_[below].revision <= floor) ++below;
-  made->cutOff(below);
-  return out->id() == id && out->entries_.size() <= kMost ? out : nullptr;
+  made->truncate(below);
+  return out->id() == id && out->entries_.size() <= kMaxEntries ? out : nullptr;
 }
 
-History::Fate History::fate(Revision base, std::uint64_t digest) const {
-  if (base == last()) return Fate::open;
-  if (base > last()) return Fate::ahead;
-  if (base.value < 0) return Fate::superseded;  // the first version builds on 0
-  if (base < floor_) return Fate::forgotten;
+ChangeHistory::Outcome ChangeHistory::outcomeOf(Revision base, std::uint64_t digest) const {
+  if (base == lastRevision()) return Outcome::undecided;
+  if (base > lastRevision()) return Outcome::baseNotYetCommitted;
+  if (base.value < 0) return Outcome::superseded;  // the first version builds on 0
+  if (base < floor_) return Outcome::truncated;
   // The first entry above the base: what was built on it, if it was a version.
   const auto next =
       std::upper_bound(entries_.begin(), entries_.end(), base,
                        [](Revision at, const Entry& entry) { return at < entry.revision; });
   const Revision built = next == entries_.begin() ? floor_ : std::prev(next)->revision;
-  return built == base && next->digest == digest ? Fate::taken : Fate::superseded;
+  return built == base && next->digest == digest ? Outcome::committed : Outcome::superseded;
 }
 
-bool History::holds(const Entry& entry) const {
+bool ChangeHistory::contains(const Entry& entry) const {
   const auto at =
       std::lower_bound(entries_.begin(), entries_.end(), entry.revision,
                        [](const Entry& e, Revision revision) { return e.revision < revision; });
   return at != entries_.end() && at->revision == entry.revision && at->digest == entry.digest;
 }
 
-const std::string& History::packed() const {
+const std::string& ChangeHistory::packed() const {
   if (packed_.empty()) {
     Revision before = floor_;
     for (const auto& entry : entries_) {
@@ -141,7 +146,7 @@
   return packed_;
 }
 
-std::optional<std::string> History::since(std::uint64_t id) const {
+std::optional<std::string> ChangeHistory::packedSince(std::uint64_t id) const {
   auto at = seed_;
   auto it = entries_.begin();
   for (; at != id; ++it) {
@@ -157,4 +162,4 @@
   return out;
 }
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::config
--- a/src/version/history.hpp
+++ b/src/config/change_history.hpp
@@ -9,58 +9,58 @@
 #include <string_view>
 #include <vector>
 
-#include "units.hpp"
+#include "base/ids.hpp"
 
-namespace merlin::cairn {
+namespace merlingauge::config {
 
 // A chain without gaps, never changed once made: the first entry builds on the floor, every other
 // on the entry before it, and the last one is the version in place. Nothing is known of what came
 // below the floor. In memory 16 bytes an entry; on disk and on the wire 12 to 24, 13 as a rule.
-class History {
+class ChangeHistory {
  public:
-  using Ptr = std::shared_ptr<const History>;
-  static constexpr std::size_t kMost = 512;  // entries: 8 KB, packed 6.7 KB as a rule
+  using Ptr = std::shared_ptr<const ChangeHistory>;
+  static constexpr std::size_t kMaxEntries = 512;  // entries: 8 KB, packed 6.7 KB as a rule
   struct Entry {
     Revision revision;
     std::uint64_t digest = 0;  // of the order that made this version
   };
   // What became of an order with that base.
-  enum class Fate : std::uint8_t {
-    open,        // its base is the version in place
-    taken,       // it made the version after its base
+  enum class Outcome : std::uint8_t {
+    undecided,   // its base is the version in place
+    committed,   // it made the version after its base
     superseded,  // its base never was a version, or another order built on it; revisions rise, so
                  // its base is never in place again
-    forgotten,   // its base is below the floor
-    ahead,       // its base may still come
+    truncated,   // its base is below the floor
+    baseNotYetCommitted,  // its base may still come
   };
 
-  explicit History(Revision floor);
+  explicit ChangeHistory(Revision floor);
   // Throws where the letters are no entries, or too many.
   static Ptr unpack(Revision floor, std::uint64_t seed, std::string_view letters);
 
-  [[nodiscard]] Ptr with(Entry entry, std::size_t most = kMost) const;
+  [[nodiscard]] Ptr extendedBy(Entry entry, std::size_t most = kMaxEntries) const;
   // This one and what `since` gave, cut off below `floor`; null where it doesn't come to the
   // history of that id.
-  [[nodiscard]] Ptr append(std::string_view letters, Revision floor, std::uint64_t id) const;
-  [[nodiscard]] Fate fate(Revision base, std::uint64_t digest) const;
-  [[nodiscard]] bool holds(const Entry& entry) const;
+  [[nodiscard]] Ptr appendPacked(std::string_view letters, Revision floor, std::uint64_t id) const;
+  [[nodiscard]] Outcome outcomeOf(Revision base, std::uint64_t digest) const;
+  [[nodiscard]] bool contains(const Entry& entry) const;
 
   // Of the whole chain, what was cut off below the floor included.
   [[nodiscard]] std::uint64_t id() const { return id_; }
   [[nodiscard]] Revision floor() const { return floor_; }
   [[nodiscard]] std::uint64_t seed() const { return seed_; }
-  [[nodiscard]] Revision last() const {
+  [[nodiscard]] Revision lastRevision() const {
     return entries_.empty() ? floor_ : entries_.back().revision;
   }
   [[nodiscard]] const std::vector<Entry>& entries() const { return entries_; }
   // Made once, when first asked for.
   [[nodiscard]] const std::string& packed() const;
   // The entries above the part whose id that is; none where it isn't a part of this one.
-  [[nodiscard]] std::optional<std::string> since(std::uint64_t id) const;
+  [[nodiscard]] std::optional<std::string> packedSince(std::uint64_t id) const;
 
  private:
-  History(Revision floor, std::uint64_t seed, std::vector<Entry> entries);
-  void cutOff(std::size_t count);
+  ChangeHistory(Revision floor, std::uint64_t seed, std::vector<Entry> entries);
+  void truncate(std::size_t count);
 
   Revision floor_;
   std::uint64_t seed_;  // the id of what lies below the floor
@@ -69,4 +69,4 @@
   mutable std::string packed_;
 };
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::config
--- a/src/version/schema.cpp
+++ b/src/config/config_schema.cpp
@@ -1,4 +1,4 @@
-#include "version/schema.hpp"
+#include "config/config_schema.hpp"
 
 #include <array>
 #include <memory>
@@ -8,7 +8,7 @@
 #include <valijson/validation_results.hpp>
 #include <valijson/validator.hpp>
 
-namespace merlin::cairn {
+namespace merlingauge::config {
 
 namespace {
 
@@ -152,14 +152,14 @@
 }
 }  // namespace
 
-std::optional<nlohmann::json> readDocument(std::string_view text) {
+std::optional<nlohmann::json> parseDocument(std::string_view text) {
   if (tooDeep(text)) return std::nullopt;
   auto document = nlohmann::json::parse(text, nullptr, false);
   if (document.is_discarded()) return std::nullopt;
   return document;
 }
 
-std::string schemaProblem(SchemaKind kind, const nlohmann::json& document) {
+std::string schemaViolation(SchemaKind kind, const nlohmann::json& document) {
   valijson::Validator validator(valijson::Validator::kStrongTypes);
   valijson::ValidationResults results;
   if (validator.validate(schemaOf(kind), valijson::adapters::NlohmannJsonAdapter(document),
@@ -189,4 +189,4 @@
   return (where.empty() ? std::string("document") : where) + ": " + what;
 }
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::config
--- a/src/version/schema.hpp
+++ b/src/config/config_schema.hpp
@@ -7,15 +7,15 @@
 #include <string>
 #include <string_view>
 
-namespace merlin::cairn {
+namespace merlingauge::config {
 
 enum class SchemaKind : std::uint8_t { settings, configuration, update, heartbeat };
 
 // A document from outside. Nothing where the text is no JSON, or nests deeper than any document of
 // ours does: copying and writing one go down a level of the stack with each of its own.
-std::optional<nlohmann::json> readDocument(std::string_view text);
+std::optional<nlohmann::json> parseDocument(std::string_view text);
 
 // Empty if the document fits; else the first thing that is wrong, naming the field.
-std::string schemaProblem(SchemaKind kind, const nlohmann::json& document);
+std::string schemaViolation(SchemaKind kind, const nlohmann::json& document);
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::config
--- a/src/version/signboard.cpp
+++ b/src/config/config_text.cpp
@@ -1,4 +1,4 @@
-#include "version/signboard.hpp"
+#include "config/config_text.hpp"
 
 #include <Poco/Base64Decoder.h>
 #include <Poco/Base64Encoder.h>
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "units.hpp"
+#include "base/hash.hpp"
 
-namespace merlin::cairn {
+namespace merlingauge::config {
 
 namespace {
 // A shelf keeps the last few: many small ones, for a storm of changes; of large ones as many as fit
@@ -49,11 +49,13 @@
 }
 }  // namespace
 
-Signboard::Signboard(std::string text) : text_(std::move(text)), id_(mixHash(text_, 1) | 1U) {}
+ConfigText::ConfigText(std::string text) : text_(std::move(text)), id_(stableHash(text_, 1) | 1U) {}
 
-Signboard::Ptr Signboard::of(std::string text) { return Ptr(new Signboard(std::move(text))); }
+ConfigText::Ptr ConfigText::create(std::string text) {
+  return Ptr(new ConfigText(std::move(text)));
+}
 
-const std::string& Signboard::packed() const {
+const std::string& ConfigText::packed() const {
   if (packed_.empty()) {
     std::ostringstream out;
     Poco::Base64Encoder letters(out);
@@ -67,7 +69,7 @@
   return packed_;
 }
 
-Signboard::Ptr Signboard::unpack(const std::string& packed, std::uint64_t id) {
+ConfigText::Ptr ConfigText::fromPacked(const std::string& packed, std::uint64_t id) {
   try {
     std::istringstream in(packed);
     Poco::Base64Decoder letters(in);
@@ -79,18 +81,18 @@
       text.append(part.data(), static_cast<std::size_t>(inflater.gcount()));
       if (text.size() > kMostText) return nullptr;
     }
-    auto board = of(std::move(text));
-    if (board->id() != id) return nullptr;
-    board->packed_ = packed;
-    return board;
+    auto configText = create(std::move(text));
+    if (configText->id() != id) return nullptr;
+    configText->packed_ = packed;
+    return configText;
   } catch (const Poco::Exception&) {
     return nullptr;
   }
 }
 
 // `=offset,length;` takes bytes of the base, `+length:` brings its own.
-const std::string& Signboard::deltaFrom(const Signboard& base) const {
-  if (deltaOf_ == base.id()) return delta_;
+const std::string& ConfigText::deltaFrom(const ConfigText& base) const {
+  if (deltaBase_ == base.id()) return delta_;
   std::unordered_map<std::string_view, std::size_t> where;
   for (const auto& piece : pieces(base.text_)) {
     where.emplace(piece, static_cast<std::size_t>(piece.data() - base.text_.data()));
@@ -120,11 +122,12 @@
   }
   flush();
   delta_ = std::move(out);
-  deltaOf_ = base.id();
+  deltaBase_ = base.id();
   return delta_;
 }
 
-Signboard::Ptr Signboard::apply(const Signboard& base, std::string_view delta, std::uint64_t id) {
+ConfigText::Ptr ConfigText::fromDelta(const ConfigText& base, std::string_view delta,
+                                      std::uint64_t id) {
   std::string text;
   while (!delta.empty()) {
     const char what = delta.front();
@@ -144,8 +147,8 @@
     }
     if (text.size() > kMostText) return nullptr;
   }
-  auto board = of(std::move(text));
-  return board->id() == id ? board : nullptr;
+  auto configText = create(std::move(text));
+  return configText->id() == id ? configText : nullptr;
 }
 
 namespace {
@@ -167,27 +170,29 @@
 }
 }  // namespace
 
-void Shelf::put(const Signboard::Ptr& board) {
-  if (!putIn(boards_, board)) return;
-  bytes_ += board->text().size();
-  while (boards_.size() > kMostKept || (bytes_ > kBytesKept && boards_.size() > kFewestKept)) {
-    bytes_ -= boards_.front()->text().size();
-    boards_.pop_front();
+void ConfigTextCache::add(const ConfigText::Ptr& configText) {
+  if (!putIn(texts_, configText)) return;
+  bytes_ += configText->text().size();
+  while (texts_.size() > kMostKept || (bytes_ > kBytesKept && texts_.size() > kFewestKept)) {
+    bytes_ -= texts_.front()->text().size();
+    texts_.pop_front();
   }
 }
 
-void Shelf::put(const History::Ptr& history) {
+void ConfigTextCache::add(const ChangeHistory::Ptr& history) {
   if (putIn(histories_, history) && histories_.size() > kHistoriesKept) histories_.pop_front();
 }
 
-Signboard::Ptr Shelf::find(std::uint64_t id) const { return findIn(boards_, id); }
-History::Ptr Shelf::findHistory(std::uint64_t id) const { return findIn(histories_, id); }
+ConfigText::Ptr ConfigTextCache::find(std::uint64_t id) const { return findIn(texts_, id); }
+ChangeHistory::Ptr ConfigTextCache::findHistory(std::uint64_t id) const {
+  return findIn(histories_, id);
+}
 
-History::Ptr Shelf::newestHistory() const {
-  const auto newest =
-      std::max_element(histories_.begin(), histories_.end(),
-                       [](const auto& a, const auto& b) { return a->last() < b->last(); });
+ChangeHistory::Ptr ConfigTextCache::newestHistory() const {
+  const auto newest = std::max_element(
+      histories_.begin(), histories_.end(),
+      [](const auto& a, const auto& b) { return a->lastRevision() < b->lastRevision(); });
   return newest == histories_.end() ? nullptr : *newest;
 }
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::config
--- a/src/version/chart.cpp
+++ b/src/config/route_table.cpp
@@ -1,12 +1,12 @@
-#include "version/chart.hpp"
+#include "config/route_table.hpp"
 
 #include <algorithm>
 #include <map>
 #include <set>
 
-#include "version/schema.hpp"
+#include "config/config_schema.hpp"
 
-namespace merlin::cairn {
+namespace merlingauge::config {
 
 using nlohmann::json;
 
@@ -25,7 +25,7 @@
 // One route of a document that has passed the schema; empty where it is sound.
 std::string readRoute(const json& rule, const std::set<std::string>& services, Route& route) {
   route.name = rule["name"].get<std::string>();
-  route.prefix = rule["path_prefix"].get<std::string>();
+  route.pathPrefix = rule["path_prefix"].get<std::string>();
   route.idempotent = rule["route_type"] == "idempotent";
   const double timeout = rule["timeout_s"].get<double>();
   const double target = rule.value("target_latency_s", timeout);
@@ -33,21 +33,21 @@
     return "route " + route.name + ": target_latency_s lies far over timeout_s";
   }
   route.timeout = fromSeconds(timeout);
-  route.target = fromSeconds(target);
+  route.targetLatency = fromSeconds(target);
   route.priority = rule.value("priority", 0);
   route.maxAttempts = rule["max_attempts"].get<int>();
   if (rule.contains("traffic_split")) {
     for (const auto& share : rule["traffic_split"]) {
-      route.split.push_back(
+      route.trafficSplit.push_back(
           {ServiceName(share["target_service"].get<std::string>()), share["weight"].get<double>()});
     }
   } else if (rule.contains("target_service")) {
-    route.split.push_back({ServiceName(rule["target_service"].get<std::string>()), 1.0});
+    route.trafficSplit.push_back({ServiceName(rule["target_service"].get<std::string>()), 1.0});
   } else {
     return "route " + route.name + ": neither target_service nor traffic_split";
   }
   double sum = 0;
-  for (const auto& share : route.split) {
+  for (const auto& share : route.trafficSplit) {
     if (!services.contains(share.service.str())) {
       return "route " + route.name + ": unknown service " + share.service.str();
     }
@@ -60,27 +60,27 @@
 
 const ServiceName& Route::pickService(double draw) const {
   double sum = 0;
-  for (const auto& share : split) sum += share.weight;
+  for (const auto& share : trafficSplit) sum += share.weight;
   double left = draw * sum;
-  for (const auto& share : split) {
+  for (const auto& share : trafficSplit) {
     left -= share.weight;
     if (left < 0) return share.service;
   }
-  return split.back().service;
+  return trafficSplit.back().service;
 }
 
-Chart::Read Chart::read(const json& config, bool schema) {
+RouteTable::ParseResult RouteTable::parse(const json& config, bool schema) {
   if (schema) {
-    auto problem = schemaProblem(SchemaKind::configuration, config);
+    auto problem = schemaViolation(SchemaKind::configuration, config);
     if (!problem.empty()) return {nullptr, problem};
   }
-  auto chart = std::make_shared<Chart>();
-  chart->revision_ = Revision{config["revision"].get<std::int64_t>()};
+  auto routeTable = std::make_shared<RouteTable>();
+  routeTable->revision_ = Revision{config["revision"].get<std::int64_t>()};
   std::set<std::string> services;
   for (const auto& service : config["services"]) {
     const auto name = service["name"].get<std::string>();
     if (!services.insert(name).second) return {nullptr, "service " + name + ": named twice"};
-    chart->maxConnections_[ServiceName(name)] = service.value("max_connections", 0);
+    routeTable->maxConnections_[ServiceName(name)] = service.value("max_connections", 0);
   }
   std::set<std::string> names;
   for (const auto& rule : config["route_rules"]) {
@@ -89,49 +89,50 @@
       return {nullptr, problem};
     }
     if (!names.insert(route.name).second) return {nullptr, "route " + route.name + ": named twice"};
-    auto& host = chart->hosts_[hostKey(rule["hostname"].get<std::string>())];
-    chart->routes_.push_back(std::move(route));
-    const auto& kept = chart->routes_.back();
-    host.longest = std::max(host.longest, kept.prefix.size());
-    const auto [other, fresh] = host.prefixes.emplace(kept.prefix, chart->routes_.size() - 1);
+    auto& host = routeTable->hosts_[hostKey(rule["hostname"].get<std::string>())];
+    routeTable->routes_.push_back(std::move(route));
+    const auto& kept = routeTable->routes_.back();
+    host.longestPrefix = std::max(host.longestPrefix, kept.pathPrefix.size());
+    const auto [other, fresh] =
+        host.byPrefix.emplace(kept.pathPrefix, routeTable->routes_.size() - 1);
     if (!fresh) {
-      return {nullptr, "routes " + chart->routes_[other->second].name + " and " + kept.name +
+      return {nullptr, "routes " + routeTable->routes_[other->second].name + " and " + kept.name +
                            ": same host and prefix"};
     }
   }
   if (config.contains("limits")) {
     const auto& limits = config["limits"];
-    auto& out = chart->limits_;
-    out.headBytes = limits.value("max_header_bytes", out.headBytes);
-    out.bodyBytes = limits.value("max_body_bytes", out.bodyBytes);
-    out.headerTime = fromSeconds(limits.value("header_timeout_s", toSeconds(out.headerTime)));
-    out.idleTime = fromSeconds(limits.value("idle_timeout_s", toSeconds(out.idleTime)));
+    auto& out = routeTable->limits_;
+    out.maxHeadBytes = limits.value("max_header_bytes", out.maxHeadBytes);
+    out.maxBodyBytes = limits.value("max_body_bytes", out.maxBodyBytes);
+    out.headerTimeout = fromSeconds(limits.value("header_timeout_s", toSeconds(out.headerTimeout)));
+    out.idleTimeout = fromSeconds(limits.value("idle_timeout_s", toSeconds(out.idleTimeout)));
   }
-  return {chart, ""};
+  return {routeTable, ""};
 }
 
-const Route* Chart::match(std::string_view host, std::string_view uri) const {
+const Route* RouteTable::findRoute(std::string_view host, std::string_view uri) const {
   const auto it = hosts_.find(hostKey(host));
   if (it == hosts_.end()) return nullptr;
   const auto path = uri.substr(0, uri.find_first_of("?#"));
   const auto& routes = it->second;
   // A prefix ends with a slash: from the last one within reach to the first.
-  auto end = std::min(path.size(), routes.longest);
+  auto end = std::min(path.size(), routes.longestPrefix);
   while (end > 0) {
     const auto slash = path.rfind('/', end - 1);
     if (slash == std::string_view::npos) break;
-    const auto hit = routes.prefixes.find(path.substr(0, slash + 1));
-    if (hit != routes.prefixes.end()) return &routes_[hit->second];
+    const auto hit = routes.byPrefix.find(path.substr(0, slash + 1));
+    if (hit != routes.byPrefix.end()) return &routes_[hit->second];
     end = slash;
   }
   return nullptr;
 }
 
-Updated applyUpdate(const json& base, const json& update) {
-  if (auto problem = schemaProblem(SchemaKind::update, update); !problem.empty()) {
+UpdateResult applyUpdate(const json& base, const json& update) {
+  if (auto problem = schemaViolation(SchemaKind::update, update); !problem.empty()) {
     return {json(), problem};
   }
-  Updated out{base, ""};
+  UpdateResult out{base, ""};
   out.config["revision"] = update["revision"];
   for (const char* list : {"route_rules", "services"}) {
     std::map<std::string, const json*> put;
@@ -168,4 +169,4 @@
   return out;
 }
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::config
--- a/src/version/chart.hpp
+++ b/src/config/route_table.hpp
@@ -12,49 +12,50 @@
 #include <unordered_map>
 #include <vector>
 
-#include "units.hpp"
+#include "base/ids.hpp"
+#include "base/time.hpp"
 
-namespace merlin::cairn {
+namespace merlingauge::config {
 
 struct Route {
   std::string name;
-  std::string prefix;
+  std::string pathPrefix;
   bool idempotent = false;
-  Span timeout{};
-  Span target{};
+  Duration timeout{};
+  Duration targetLatency{};
   int priority = 0;
   int maxAttempts = 1;
-  struct Share {
+  struct WeightedService {
     ServiceName service;
     double weight;
   };
-  std::vector<Share> split;
+  std::vector<WeightedService> trafficSplit;
   // `draw` in [0, 1).
   [[nodiscard]] const ServiceName& pickService(double draw) const;
 };
 
-struct Limits {
-  std::size_t headBytes = 16384;
-  std::uint64_t bodyBytes = 64ULL << 20;
-  Span headerTime = std::chrono::seconds(3);
-  Span idleTime = std::chrono::seconds(15);
+struct ClientLimits {
+  std::size_t maxHeadBytes = 16384;
+  std::uint64_t maxBodyBytes = 64ULL << 20;
+  Duration headerTimeout = std::chrono::seconds(3);
+  Duration idleTimeout = std::chrono::seconds(15);
 };
 
-class Chart {
+class RouteTable {
  public:
-  using Ptr = std::shared_ptr<const Chart>;
+  using Ptr = std::shared_ptr<const RouteTable>;
   // Either a chart or the reason why not.
-  struct Read {
-    Ptr chart;
-    std::string problem;
+  struct ParseResult {
+    Ptr table;
+    std::string error;
   };
   // `schema` false: the document has passed the schema before.
-  static Read read(const nlohmann::json& config, bool schema = true);
+  static ParseResult parse(const nlohmann::json& config, bool schema = true);
 
   // The longest prefix among the host's routes; null if none.
-  [[nodiscard]] const Route* match(std::string_view host, std::string_view uri) const;
+  [[nodiscard]] const Route* findRoute(std::string_view host, std::string_view uri) const;
   [[nodiscard]] Revision revision() const { return revision_; }
-  [[nodiscard]] const Limits& limits() const { return limits_; }
+  [[nodiscard]] const ClientLimits& limits() const { return limits_; }
   [[nodiscard]] std::size_t routeCount() const { return routes_.size(); }
   // 0 where the service names no bound.
   [[nodiscard]] int maxConnections(const ServiceName& service) const {
@@ -64,22 +65,22 @@
 
  private:
   Revision revision_;
-  Limits limits_;
+  ClientLimits limits_;
   std::unordered_map<ServiceName, int> maxConnections_;
   // Routes of a host by their prefix: a path is looked up once for each of its slashes.
-  struct Host {
-    std::unordered_map<std::string_view, std::size_t> prefixes;
-    std::size_t longest = 0;
+  struct HostRoutes {
+    std::unordered_map<std::string_view, std::size_t> byPrefix;
+    std::size_t longestPrefix = 0;
   };
-  std::unordered_map<std::string, Host> hosts_;
+  std::unordered_map<std::string, HostRoutes> hosts_;
   std::deque<Route> routes_;
 };
 
 // The configuration that an Update makes of `base`; problem set where its shape is wrong.
-struct Updated {
+struct UpdateResult {
   nlohmann::json config;
-  std::string problem;
+  std::string error;
 };
-Updated applyUpdate(const nlohmann::json& base, const nlohmann::json& update);
+UpdateResult applyUpdate(const nlohmann::json& base, const nlohmann::json& update);
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::config
--- a/src/version/evidence.hpp
+++ b/src/consensus/staleness_bound.hpp
@@ -8,47 +8,49 @@
 #include <optional>
 #include <vector>
 
-#include "units.hpp"
-#include "version/register.hpp"
+#include "base/ids.hpp"
+#include "base/time.hpp"
+#include "consensus/register.hpp"
 
-namespace merlin::cairn {
+namespace merlingauge::consensus {
 
-class Evidence {
+class StalenessBound {
  public:
   // Before everything, and far enough from both ends to be subtracted.
-  static constexpr Instant kNever = Instant(Span::min() / 4);
+  static constexpr TimePoint kNever = TimePoint(Duration::min() / 4);
 
   // What this node's own voter holds as accepted, since then, is of that sequence.
-  void accepted(std::uint64_t sequence, Instant at);
+  void onAccepted(std::uint64_t sequence, TimePoint at);
   // Values up to that sequence are known to be chosen, or overtaken by one that is.
-  void learned(std::uint64_t sequence);
+  void onLearned(std::uint64_t sequence);
   // All that this node's own voter had accepted by then is covered by what is known here.
-  [[nodiscard]] Instant own(Instant now) const;
+  [[nodiscard]] TimePoint ownAsOf(TimePoint now) const;
 
   // The same of another voter, whose known value is known here as well.
-  void voter(const NodeId& node, Instant asOf);
+  void onVoterContact(const NodeId& node, TimePoint asOf);
   // A neighbour knew by then all that was chosen, and has handed it on.
-  void neighbour(Instant asOf) { chain_ = std::max(chain_, asOf); }
+  void onPeerBound(TimePoint asOf) { peerBound_ = std::max(peerBound_, asOf); }
   // A read that began then has found what is chosen: majorities have promised it.
-  void read(Instant began) { read_ = std::max(read_, began); }
+  void onQuorumRead(TimePoint began) { quorumRead_ = std::max(quorumRead_, began); }
 
   // The last contact with majorities of every set of voters named in the newest value known.
   // `self` is the moment for this node where it votes itself.
-  [[nodiscard]] Instant quorum(const Value& known, const NodeId& self,
-                               const std::optional<Instant>& own) const;
+  [[nodiscard]] TimePoint quorumContact(const RegisterValue& known, const NodeId& self,
+                                        const std::optional<TimePoint>& own) const;
   // All that was chosen before that moment is known here. `quorum`: as above.
-  [[nodiscard]] Instant knownUpTo(Instant quorum) const { return std::max(quorum, chain_); }
+  [[nodiscard]] TimePoint knownUpTo(TimePoint quorum) const { return std::max(quorum, peerBound_); }
 
  private:
-  struct Ahead {
+  struct AcceptedAhead {
     std::uint64_t sequence;
-    Instant since;
+    TimePoint since;
   };
-  std::vector<Ahead> ahead_;  // accepted, not known: rising, the first moment of each; few
-  std::uint64_t known_ = 0;
-  std::map<NodeId, Instant> voters_;
-  Instant chain_ = kNever;
-  Instant read_ = kNever;
+  std::vector<AcceptedAhead>
+      acceptedAhead_;  // accepted, not known: rising, the first moment of each; few
+  std::uint64_t knownSequence_ = 0;
+  std::map<NodeId, TimePoint> voterContacts_;
+  TimePoint peerBound_ = kNever;
+  TimePoint quorumRead_ = kNever;
 };
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::consensus
--- a/src/version/voters.cpp
+++ b/src/consensus/voter_set.cpp
@@ -1,8 +1,8 @@
-#include "version/voters.hpp"
+#include "consensus/voter_set.hpp"
 
 #include <algorithm>
 
-namespace merlin::cairn {
+namespace merlingauge::consensus {
 
 namespace {
 constexpr std::size_t kFewestVoters = 3;
@@ -11,39 +11,41 @@
   return std::find(nodes.begin(), nodes.end(), node) != nodes.end();
 }
 
-const CoreView* find(const VoterView& view, const NodeId& node) {
-  const auto it = std::find_if(view.machines.begin(), view.machines.end(),
-                               [&](const CoreView& machine) { return machine.id == node; });
-  return it == view.machines.end() ? nullptr : &*it;
+const ControlNodeView* find(const VoterSetView& view, const NodeId& node) {
+  const auto it = std::find_if(view.nodes.begin(), view.nodes.end(),
+                               [&](const ControlNodeView& machine) { return machine.id == node; });
+  return it == view.nodes.end() ? nullptr : &*it;
 }
 
 // The voters that are gone, the one silent longest first.
-std::vector<CoreView> goneOf(const VoterView& view) {
-  std::vector<CoreView> out;
+std::vector<ControlNodeView> goneOf(const VoterSetView& view) {
+  std::vector<ControlNodeView> out;
   for (const auto& voter : view.voters) {
     const auto* machine = find(view, voter);
     if (machine == nullptr) {
-      CoreView lost;
+      ControlNodeView lost;
       lost.id = voter;
-      lost.silent = Span::max();
+      lost.silentFor = Duration::max();
       out.push_back(lost);
-    } else if (machine->gone()) {
+    } else if (machine->unavailable()) {
       out.push_back(*machine);
     }
   }
-  std::stable_sort(out.begin(), out.end(),
-                   [](const CoreView& a, const CoreView& b) { return a.silent > b.silent; });
+  std::stable_sort(out.begin(), out.end(), [](const ControlNodeView& a, const ControlNodeView& b) {
+    return a.silentFor > b.silentFor;
+  });
   return out;
 }
 
 // Machines that could vote and don't. Where none of the voters is gone there is time to let those
 // that are just arriving come in together.
-std::vector<NodeId> newcomersOf(const VoterView& view, bool hurry) {
+std::vector<NodeId> newcomersOf(const VoterSetView& view, bool hurry) {
   std::vector<NodeId> out;
-  for (const auto& machine : view.machines) {
-    if (contains(view.voters, machine.id) || !machine.heard || machine.gone()) continue;
-    if (!hurry && machine.known <= kNewcomerSettled) return {};
-    if (machine.awake) out.push_back(machine.id);
+  for (const auto& machine : view.nodes) {
+    if (contains(view.voters, machine.id) || !machine.heardRecently || machine.unavailable())
+      continue;
+    if (!hurry && machine.knownFor <= kNewNodeSettledAfter) return {};
+    if (machine.recovered) out.push_back(machine.id);
   }
   std::sort(out.begin(), out.end());
   return out;
@@ -53,32 +55,35 @@
 // margin to f, or else as far as it goes.
 std::size_t surplus(std::size_t voters, std::size_t gone, std::size_t tolerance) {
   std::size_t best = 0;
-  for (std::size_t out = 1; out <= gone && voters - out >= fewestVoters(tolerance); ++out) {
-    const int margin = marginOf(voters - best, gone - best);
+  for (std::size_t out = 1; out <= gone && voters - out >= minVoters(tolerance); ++out) {
+    const int margin = quorumMargin(voters - best, gone - best);
     if (margin >= static_cast<int>(tolerance)) break;
-    if (marginOf(voters - out, gone - out) > margin) best = out;
+    if (quorumMargin(voters - out, gone - out) > margin) best = out;
   }
   return best;
 }
 }  // namespace
 
-std::size_t fewestVoters(std::size_t tolerance) {
-  return std::max(kFewestVoters, 2 * tolerance + 1);
-}
+std::size_t minVoters(std::size_t tolerance) { return std::max(kFewestVoters, 2 * tolerance + 1); }
 
-int marginOf(std::size_t voters, std::size_t gone) {
+int quorumMargin(std::size_t voters, std::size_t gone) {
   return static_cast<int>(voters) - static_cast<int>(gone) - static_cast<int>(voters / 2 + 1);
 }
 
-int marginOf(const VoterView& view) { return marginOf(view.voters.size(), goneOf(view).size()); }
+int quorumMargin(const VoterSetView& view) {
+  return quorumMargin(view.voters.size(), goneOf(view).size());
+}
 
-std::optional<std::vector<NodeId>> nextVoters(const VoterView& view) {
+std::optional<std::vector<NodeId>> nextVoterSet(const VoterSetView& view) {
   auto gone = goneOf(view);
-  const std::size_t fewest = fewestVoters(view.tolerance);
-  const bool scarce = marginOf(view.voters.size(), gone.size()) < static_cast<int>(view.tolerance);
+  const std::size_t fewest = minVoters(view.faultTolerance);
+  const bool scarce =
+      quorumMargin(view.voters.size(), gone.size()) < static_cast<int>(view.faultTolerance);
   // One that only starts again is back before it is missed, where there is margin.
   if (!scarce) {
-    std::erase_if(gone, [](const CoreView& voter) { return voter.silent <= kVoterGone; });
+    std::erase_if(gone, [](const ControlNodeView& voter) {
+      return voter.silentFor <= kVoterUnresponsiveAfter;
+    });
   }
   auto newcomers = newcomersOf(view, !gone.empty());
   auto next = view.voters;
@@ -98,10 +103,12 @@
   if (added > 0 && next.size() + added > fewest && (next.size() + added) % 2 == 0) --added;
   next.insert(next.end(), newcomers.begin(),
               newcomers.begin() + static_cast<std::ptrdiff_t>(added));
-  for (std::size_t n = surplus(next.size(), gone.size(), view.tolerance); n > 0; --n) takeOut();
+  for (std::size_t n = surplus(next.size(), gone.size(), view.faultTolerance); n > 0; --n)
+    takeOut();
   // The long lost are taken out as well, again so that no even set is left.
   auto lost = static_cast<std::size_t>(std::count_if(
-      gone.begin(), gone.end(), [](const CoreView& voter) { return voter.silent > kVoterLost; }));
+      gone.begin(), gone.end(),
+      [](const ControlNodeView& voter) { return voter.silentFor > kVoterLostAfter; }));
   lost = std::min(lost, next.size() > fewest ? next.size() - fewest : 0);
   if (lost > 0 && (next.size() - lost) % 2 == 0) --lost;
   for (; lost > 0; --lost) takeOut();
@@ -110,13 +117,13 @@
   return next;
 }
 
-bool holdsDuty(const VoterView& view, const NodeId& self) {
+bool ownsVoterSetRole(const VoterSetView& view, const NodeId& self) {
   for (const auto& voter : view.voters) {
     if (voter == self) return true;
     const auto* machine = find(view, voter);
-    if (machine != nullptr && machine->heard && !machine->gone()) return false;
+    if (machine != nullptr && machine->heardRecently && !machine->unavailable()) return false;
   }
   return true;
 }
 
-}  // namespace merlin::cairn
+}  // namespace merlingauge::consensus
--- a/src/process/bell.cpp
+++ b/src/event/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "process/bell.hpp"
+#include "event/event_loop.hpp"
 
 #include <Poco/Net/StreamSocketImpl.h>
 #include <fcntl.h>
@@ -8,16 +8,16 @@
 #include <array>
 #include <stdexcept>
 
-namespace merlin::hut {
+namespace merlingauge::event {
 
 using Poco::Net::PollSet;
 
-Instant Bell::clock() {
-  return Instant(
-      std::chrono::duration_cast<Span>(std::chrono::steady_clock::now().time_since_epoch()));
+TimePoint EventLoop::readClock() {
+  return TimePoint(
+      std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-Bell::Bell() : now_(clock()) {
+EventLoop::EventLoop() : now_(readClock()) {
   std::array<int, 2> ends{};
   if (::pipe(ends.data()) != 0) throw std::runtime_error("no pipe for the loop");
   for (const int fd : ends) {
@@ -34,45 +34,46 @@
   });
 }
 
-Bell::~Bell() { ::close(wakeWrite_); }
+EventLoop::~EventLoop() { ::close(wakeWrite_); }
 
-void Bell::watch(const Poco::Net::Socket& socket, int mode, Ready ready) {
-  watched_[socket.impl()] = Watched{socket, mode, std::make_shared<Ready>(std::move(ready))};
+void EventLoop::watch(const Poco::Net::Socket& socket, int mode, ReadyCallback ready) {
+  watched_[socket.impl()] =
+      Watched{socket, mode, std::make_shared<ReadyCallback>(std::move(ready))};
   poll_.add(socket, mode);
 }
 
-void Bell::change(const Poco::Net::Socket& socket, int mode) {
+void EventLoop::change(const Poco::Net::Socket& socket, int mode) {
   const auto it = watched_.find(socket.impl());
   if (it == watched_.end() || it->second.mode == mode) return;
   it->second.mode = mode;
   poll_.update(socket, mode);
 }
 
-void Bell::forget(const Poco::Net::Socket& socket) {
+void EventLoop::forget(const Poco::Net::Socket& socket) {
   const auto it = watched_.find(socket.impl());
   if (it == watched_.end()) return;
   poll_.remove(socket);
   watched_.erase(it);
 }
 
-Bell::TimerId Bell::after(Span wait, Work work) {
+EventLoop::TimerId EventLoop::after(Duration wait, Task work) {
   const TimerId id = nextTimer_++;
-  const Instant at = now_ + std::max(wait, Span(0));
+  const TimePoint at = now_ + std::max(wait, Duration(0));
   timers_.emplace(std::make_pair(at, id), std::move(work));
-  timerAt_.emplace(id, at);
+  timerDueTimes_.emplace(id, at);
   return id;
 }
 
-void Bell::cancel(TimerId id) {
-  const auto it = timerAt_.find(id);
-  if (it == timerAt_.end()) return;
+void EventLoop::cancel(TimerId id) {
+  const auto it = timerDueTimes_.find(id);
+  if (it == timerDueTimes_.end()) return;
   timers_.erase({it->second, id});
-  timerAt_.erase(it);
+  timerDueTimes_.erase(it);
 }
 
-void Bell::later(Work work) { later_.push_back(std::move(work)); }
+void EventLoop::defer(Task work) { deferred_.push_back(std::move(work)); }
 
-void Bell::post(Work work) {
+void EventLoop::post(Task work) {
   bool first = false;
   {
     const std::lock_guard<std::mutex> hold(postLock_);
@@ -86,26 +87,26 @@
   }
 }
 
-void Bell::runTimers() {
+void EventLoop::runTimers() {
   while (!timers_.empty() && timers_.begin()->first.first <= now_) {
     const auto first = timers_.begin();
-    Work work = std::move(first->second);
-    timerAt_.erase(first->first.second);
+    Task work = std::move(first->second);
+    timerDueTimes_.erase(first->first.second);
     timers_.erase(first);
     work();
   }
 }
 
-void Bell::runLater() {
-  for (int rounds = 0; !later_.empty() && rounds < 8; ++rounds) {
-    std::vector<Work> batch;
-    batch.swap(later_);
+void EventLoop::runDeferred() {
+  for (int rounds = 0; !deferred_.empty() && rounds < 8; ++rounds) {
+    std::vector<Task> batch;
+    batch.swap(deferred_);
     for (auto& work : batch) work();
   }
 }
 
-void Bell::runPosted() {
-  std::vector<Work> batch;
+void EventLoop::runPosted() {
+  std::vector<Task> batch;
   {
     const std::lock_guard<std::mutex> hold(postLock_);
     batch.swap(posted_);
@@ -113,31 +114,31 @@
   for (auto& work : batch) work();
 }
 
-void Bell::run() {
+void EventLoop::run() {
   running_ = true;
   while (running_) {
-    runLater();
-    Span wait = std::chrono::seconds(1);
-    if (!later_.empty()) {
-      wait = Span(0);
+    runDeferred();
+    Duration wait = std::chrono::seconds(1);
+    if (!deferred_.empty()) {
+      wait = Duration(0);
     } else if (!timers_.empty()) {
-      wait = std::clamp(timers_.begin()->first.first - clock(), Span(0), wait);
+      wait = std::clamp(timers_.begin()->first.first - readClock(), Duration(0), wait);
     }
     // PollSet waits in whole milliseconds, rounded down: round up, or the loop would spin.
     const auto millis = (wait.count() + 999) / 1000;
     auto ready = poll_.poll(Poco::Timespan(millis * 1000));
-    now_ = clock();
-    if (eachTurn_) eachTurn_();
+    now_ = readClock();
+    if (turnHook_) turnHook_();
     for (auto& [socket, mode] : ready) {
       const auto it = watched_.find(socket.impl());
       if (it == watched_.end()) continue;
-      const auto call = it->second.ready;  // kept alive while it runs
+      const auto call = it->second.onReady;  // kept alive while it runs
       (*call)(mode);
     }
     runPosted();
     runTimers();
   }
-  runLater();
+  runDeferred();
 }
 
-}  // namespace merlin::hut
+}  // namespace merlingauge::event
--- a/src/process/bell.hpp
+++ b/src/event/event_loop.hpp
@@ -14,66 +14,66 @@
 #include <unordered_map>
 #include <vector>
 
-#include "units.hpp"
+#include "base/time.hpp"
 
-namespace merlin::hut {
+namespace merlingauge::event {
 
-class Bell {
+class EventLoop {
  public:
-  using Ready = std::function<void(int mode)>;
-  using Work = std::function<void()>;
+  using ReadyCallback = std::function<void(int mode)>;
+  using Task = std::function<void()>;
   using TimerId = std::uint64_t;
 
-  Bell();
-  ~Bell();
-  Bell(const Bell&) = delete;
-  Bell& operator=(const Bell&) = delete;
+  EventLoop();
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
-  void watch(const Poco::Net::Socket& socket, int mode, Ready ready);
+  void watch(const Poco::Net::Socket& socket, int mode, ReadyCallback ready);
   void change(const Poco::Net::Socket& socket, int mode);
   void forget(const Poco::Net::Socket& socket);
 
-  TimerId after(Span wait, Work work);
+  TimerId after(Duration wait, Task work);
   void cancel(TimerId id);
   // Runs at the end of this turn of the loop.
-  void later(Work work);
+  void defer(Task work);
   // From any thread.
-  void post(Work work);
+  void post(Task work);
 
-  [[nodiscard]] Instant now() const { return now_; }
-  static Instant clock();
+  [[nodiscard]] TimePoint now() const { return now_; }
+  static TimePoint readClock();
 
   // For a signal handler: one byte written here ends the wait.
-  [[nodiscard]] int wakeEnd() const { return wakeWrite_; }
-  void eachTurn(Work work) { eachTurn_ = std::move(work); }
+  [[nodiscard]] int wakeDescriptor() const { return wakeWrite_; }
+  void setTurnHook(Task work) { turnHook_ = std::move(work); }
 
   void run();
   void stop() { running_ = false; }
 
  private:
   void runTimers();
-  void runLater();
+  void runDeferred();
   void runPosted();
 
   struct Watched {
     Poco::Net::Socket socket;
     int mode = 0;
-    std::shared_ptr<Ready> ready;
+    std::shared_ptr<ReadyCallback> onReady;
   };
 
   Poco::Net::PollSet poll_;
   std::unordered_map<Poco::Net::SocketImpl*, Watched> watched_;
-  std::map<std::pair<Instant, TimerId>, Work> timers_;
-  std::unordered_map<TimerId, Instant> timerAt_;
+  std::map<std::pair<TimePoint, TimerId>, Task> timers_;
+  std::unordered_map<TimerId, TimePoint> timerDueTimes_;
   TimerId nextTimer_ = 1;
-  std::vector<Work> later_;
+  std::vector<Task> deferred_;
   std::mutex postLock_;
-  std::vector<Work> posted_;
+  std::vector<Task> posted_;
   int wakeWrite_ = -1;
   Poco::Net::StreamSocket wakeRead_;
-  Instant now_;
-  Work eachTurn_;
+  TimePoint now_;
+  Task turnHook_;
   bool running_ = false;
 };
 
-}  // namespace merlin::hut
+}  // namespace merlingauge::event
--- a/src/connection/framing.cpp
+++ b/src/http/message_framing.cpp
@@ -1,4 +1,4 @@
-#include "connection/framing.hpp"
+#include "http/message_framing.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/MemoryStream.h>
@@ -11,7 +11,7 @@
 #include <sstream>
 #include <vector>
 
-namespace merlin::saddle {
+namespace merlingauge::http {
 
 using Poco::icompare;
 using Poco::Net::HTTPMessage;
@@ -111,22 +111,22 @@
 
 }  // namespace
 
-HeadState findHead(std::string_view bytes, std::size_t limit, std::size_t& size) {
+HeadParseResult findHead(std::string_view bytes, std::size_t limit, std::size_t& size) {
   const auto end = bytes.find("\r\n\r\n");
   if (end == std::string_view::npos) {
-    if (bytes.size() > limit) return HeadState::tooLarge;
+    if (bytes.size() > limit) return HeadParseResult::tooLarge;
     // A bare line feed can never become a good head: say so now, not at the time limit.
     const auto feed = bytes.find('\n');
     if (feed != std::string_view::npos && (feed == 0 || bytes[feed - 1] != '\r')) {
-      return HeadState::bad;
+      return HeadParseResult::malformed;
     }
-    return HeadState::incomplete;
+    return HeadParseResult::incomplete;
   }
   size = end + 4;
-  return size > limit ? HeadState::tooLarge : HeadState::complete;
+  return size > limit ? HeadParseResult::tooLarge : HeadParseResult::complete;
 }
 
-bool strictHead(std::string_view head, bool request) {
+bool isStrictHead(std::string_view head, bool request) {
   if (head.size() < 4) return false;
   head.remove_suffix(2);
   Seen seen;
@@ -153,13 +153,13 @@
 }
 
 namespace {
-BodyPlan planOf(const HTTPMessage& message, BodyKind otherwise) {
-  if (message.has(HTTPMessage::TRANSFER_ENCODING)) return {BodyKind::chunked, 0};
+BodyFraming planOf(const HTTPMessage& message, FramingKind otherwise) {
+  if (message.has(HTTPMessage::TRANSFER_ENCODING)) return {FramingKind::chunked, 0};
   if (message.has(HTTPMessage::CONTENT_LENGTH)) {
     std::uint64_t n = 0;
     const std::string& text = message.get(HTTPMessage::CONTENT_LENGTH);
     std::from_chars(text.data(), text.data() + text.size(), n);
-    return {n == 0 ? BodyKind::none : BodyKind::length, n};
+    return {n == 0 ? FramingKind::none : FramingKind::contentLength, n};
   }
   return {otherwise, 0};
 }
@@ -177,29 +177,29 @@
 }
 }  // namespace
 
-std::optional<BodyPlan> readRequestHead(std::string_view head, HTTPRequest& request) {
+std::optional<BodyFraming> parseRequestHead(std::string_view head, HTTPRequest& request) {
   if (!pocoRead(head, request)) return std::nullopt;
-  return planOf(request, BodyKind::none);
+  return planOf(request, FramingKind::none);
 }
 
-std::optional<BodyPlan> readResponseHead(std::string_view head, bool toHead,
-                                         HTTPResponse& response) {
+std::optional<BodyFraming> parseResponseHead(std::string_view head, bool toHead,
+                                             HTTPResponse& response) {
   if (!pocoRead(head, response)) return std::nullopt;
   const int status = response.getStatus();
-  if (toHead || status == 204 || status == 304 || status < 200) return BodyPlan{};
-  return planOf(response, BodyKind::untilClose);
+  if (toHead || status == 204 || status == 304 || status < 200) return BodyFraming{};
+  return planOf(response, FramingKind::untilClose);
 }
 
-BodyReader::BodyReader(BodyPlan plan) : plan_(plan), left_(plan.length) {
-  if (plan_.kind == BodyKind::none) state_ = State::done;
+BodyReader::BodyReader(BodyFraming plan) : framing_(plan), left_(plan.length) {
+  if (framing_.kind == FramingKind::none) state_ = State::done;
 }
 
-BodyReader::State BodyReader::feed(std::string& in, std::string& out) {
+BodyReader::State BodyReader::consume(std::string& in, std::string& out) {
   if (state_ != State::more) return state_;
-  switch (plan_.kind) {
-    case BodyKind::none:
+  switch (framing_.kind) {
+    case FramingKind::none:
       break;
-    case BodyKind::length: {
+    case FramingKind::contentLength: {
       const auto take = static_cast<std::size_t>(std::min<std::uint64_t>(left_, in.size()));
       out.append(in, 0, take);
       in.erase(0, take);
@@ -207,11 +207,11 @@
       if (left_ == 0) state_ = State::done;
       break;
     }
-    case BodyKind::untilClose:
+    case FramingKind::untilClose:
       out.append(in);
       in.clear();
       break;
-    case BodyKind::chunked:
+    case FramingKind::chunked:
       state_ = chunks(in, out);
       break;
   }
@@ -233,22 +233,22 @@
     const auto end = in.find("\r\n", pos);
     if (end == std::string::npos) {
       const auto rest = in.size() - pos;
-      if (rest > kChunkLineLimit || (at_ == Chunk::dataEnd && rest > 1)) result = State::bad;
+      if (rest > kChunkLineLimit || (at_ == Chunk::dataEnd && rest > 1)) result = State::malformed;
       break;
     }
     const std::string_view line(in.data() + pos, end - pos);
     pos = end + 2;
     if (!printable(line)) {
-      result = State::bad;
+      result = State::malformed;
     } else if (at_ == Chunk::dataEnd) {
-      if (!line.empty()) result = State::bad;
+      if (!line.empty()) result = State::malformed;
       at_ = Chunk::size;
     } else if (at_ == Chunk::trailer) {
       Seen unused;
       if (line.empty()) {
         result = State::done;
       } else if (!headerLine(line, unused)) {
-        result = State::bad;
+        result = State::malformed;
       }
     } else {
       const auto number = trimmed(line.substr(0, line.find(';')));
@@ -256,7 +256,7 @@
       const auto read = std::from_chars(number.data(), number.data() + number.size(), size, 16);
       if (number.empty() || number.size() > 15 || read.ec != std::errc() ||
           read.ptr != number.data() + number.size()) {
-        result = State::bad;
+        result = State::malformed;
       }
       left_ = size;
       at_ = size == 0 ? Chunk::trailer : Chunk::data;
@@ -266,9 +266,9 @@
   return result;
 }
 
-void appendBody(BodyKind kind, std::string_view bytes, std::string& wire) {
+void appendBody(FramingKind kind, std::string_view bytes, std::string& wire) {
   if (bytes.empty()) return;
-  if (kind != BodyKind::chunked) {
+  if (kind != FramingKind::chunked) {
     wire.append(bytes);
     return;
   }
@@ -277,12 +277,12 @@
   wire.append(size.data(), end.ptr).append("\r\n").append(bytes).append("\r\n");
 }
 
-void appendBodyEnd(BodyKind kind, std::string& wire) {
-  if (kind == BodyKind::chunked) wire.append("0\r\n\r\n");
+void appendBodyEnd(FramingKind kind, std::string& wire) {
+  if (kind == FramingKind::chunked) wire.append("0\r\n\r\n");
 }
 
 void copyHeaders(const Poco::Net::MessageHeader& from, Poco::Net::MessageHeader& to,
-                 DropHeader drop) {
+                 HeaderFilter drop) {
   std::vector<std::string> named;
   for (const auto& [name, value] : from) {
     if (icompare(name, HTTPMessage::CONNECTION) != 0) continue;
@@ -298,13 +298,13 @@
   }
 }
 
-std::string wireHead(const HTTPRequest& request) {
+std::string serializeHead(const HTTPRequest& request) {
   std::ostringstream out;
   request.write(out);
   return out.str();
 }
 
-std::string wireHead(const HTTPResponse& response) {
+std::string serializeHead(const HTTPResponse& response) {
   std::ostringstream out;
   response.write(out);
   return out.str();
@@ -323,16 +323,17 @@
   return message.getVersion() == HTTPMessage::HTTP_1_0 && !keep;
 }
 
-void planHeaders(const BodyPlan& plan, HTTPMessage& message) {
-  if (plan.kind == BodyKind::chunked) {
+void setFramingHeaders(const BodyFraming& plan, HTTPMessage& message) {
+  if (plan.kind == FramingKind::chunked) {
     message.set(HTTPMessage::TRANSFER_ENCODING, "chunked");
-  } else if (plan.kind != BodyKind::untilClose) {
+  } else if (plan.kind != FramingKind::untilClose) {
     message.set(HTTPMessage::CONTENT_LENGTH, std::to_string(plan.length));
   }
 }
 
-void planHeaders(const BodyPlan& plan, const HTTPRequest& from, HTTPRequest& to) {
-  if (plan.kind != BodyKind::none || from.has(HTTPMessage::CONTENT_LENGTH)) planHeaders(plan, to);
+void setFramingHeaders(const BodyFraming& plan, const HTTPRequest& from, HTTPRequest& to) {
+  if (plan.kind != FramingKind::none || from.has(HTTPMessage::CONTENT_LENGTH))
+    setFramingHeaders(plan, to);
 }
 
-}  // namespace merlin::saddle
+}  // namespace merlingauge::http
--- a/src/process/settings.cpp
+++ b/src/node/settings.cpp
@@ -1,4 +1,4 @@
-#include "process/settings.hpp"
+#include "node/settings.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/SocketAddress.h>
@@ -8,9 +8,9 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "version/schema.hpp"
+#include "config/config_schema.hpp"
 
-namespace merlin::hut {
+namespace merlingauge::node {
 
 using nlohmann::json;
 
@@ -38,19 +38,19 @@
     const auto& list = node["serves"];
     return std::find(list.begin(), list.end(), what) != list.end();
   };
-  if (!s.frontend.empty() && (!s.egress.empty() || !s.ingress.empty())) {
+  if (!s.frontendAddress.empty() && (!s.egressAddress.empty() || !s.ingressAddress.empty())) {
     return "network.listeners: frontend together with egress or ingress";
   }
-  if (serves("edge") && s.frontend.empty()) {
+  if (serves("edge") && s.frontendAddress.empty()) {
     return "network.listeners.frontend: missing, and self_node.serves names edge";
   }
-  if (serves("edge") && s.readiness.empty()) {
+  if (serves("edge") && s.readinessAddress.empty()) {
     return "network.listeners.readiness: missing, and self_node.serves names edge";
   }
-  if (serves("sidecar") && (s.egress.empty() || s.ingress.empty())) {
+  if (serves("sidecar") && (s.egressAddress.empty() || s.ingressAddress.empty())) {
     return "network.listeners: egress or ingress missing, and self_node.serves names sidecar";
   }
-  if (serves("control_plane") && s.control.empty()) {
+  if (serves("control_plane") && s.controlAddress.empty()) {
     return "network.listeners.control_plane: missing, and self_node.serves names control_plane";
   }
   return "";
@@ -58,18 +58,18 @@
 
 void readTerms(const json& terms, Settings& s) {
   s.drainTimeout = fromSeconds(terms.value("drain_timeout_s", toSeconds(s.drainTimeout)));
-  s.grace = fromSeconds(terms.value("grace_period_s", toSeconds(s.grace)));
-  s.retryRatio = terms.value("retry_budget_ratio", s.retryRatio);
-  s.retrySlack = terms.value("retry_budget_slack", s.retrySlack);
+  s.gracePeriod = fromSeconds(terms.value("grace_period_s", toSeconds(s.gracePeriod)));
+  s.retryBudgetRatio = terms.value("retry_budget_ratio", s.retryBudgetRatio);
+  s.retryBudgetSlack = terms.value("retry_budget_slack", s.retryBudgetSlack);
   s.retryWindow = fromSeconds(terms.value("retry_window_s", toSeconds(s.retryWindow)));
 }
 
 }  // namespace
 
-SettingsRead parseSettings(const std::string& text) {
+SettingsResult parseSettings(const std::string& text) {
   const auto document = json::parse(text, nullptr, false);
   if (document.is_discarded()) return {std::nullopt, "settings: not JSON"};
-  if (auto problem = cairn::schemaProblem(cairn::SchemaKind::settings, document);
+  if (auto problem = config::schemaViolation(config::SchemaKind::settings, document);
       !problem.empty()) {
     return {std::nullopt, "settings: " + problem};
   }
@@ -77,9 +77,9 @@
   const auto& node = document["self_node"];
   const auto& network = document["network"];
   s.nodeName = node["node_name"].get<std::string>();
-  s.self = NodeId(node["ip_address"].get<std::string>());
+  s.nodeId = NodeId(node["ip_address"].get<std::string>());
   s.zone = ZoneName(node["zone"].get<std::string>());
-  s.service = ServiceName(node.value("target_service", ""));
+  s.targetService = ServiceName(node.value("target_service", ""));
   s.appAddress = node.value("app_address", "");
   s.quorumMember = node.value("quorum_member", false);
   s.bootstrap = node.value("bootstrap", false);
@@ -87,21 +87,21 @@
     s.dataDirectory = node["data_directory"].get<std::string>();
   }
   if (node.contains("limits")) {
-    s.descriptors = static_cast<int>(node["limits"].value("file_descriptors", 1024.0));
-    s.processor = node["limits"].value("cpu_share", 1.0) * node["limits"].value("cpu_cores", 1.0);
+    s.maxDescriptors = static_cast<int>(node["limits"].value("file_descriptors", 1024.0));
+    s.cpuCores = node["limits"].value("cpu_share", 1.0) * node["limits"].value("cpu_cores", 1.0);
     s.diskMb = static_cast<int>(node["limits"].value("disk_mb", 64.0));
   }
-  s.ingress = listener(network, "ingress");
-  s.egress = listener(network, "egress");
-  s.frontend = listener(network, "frontend");
-  s.readiness = listener(network, "readiness");
-  s.control = listener(network, "control_plane");
+  s.ingressAddress = listener(network, "ingress");
+  s.egressAddress = listener(network, "egress");
+  s.frontendAddress = listener(network, "frontend");
+  s.readinessAddress = listener(network, "readiness");
+  s.controlAddress = listener(network, "control_plane");
   const std::pair<const char*, const std::string*> addresses[] = {
-      {"network.listeners.ingress", &s.ingress},
-      {"network.listeners.egress", &s.egress},
-      {"network.listeners.frontend", &s.frontend},
-      {"network.listeners.readiness", &s.readiness},
-      {"network.listeners.control_plane", &s.control},
+      {"network.listeners.ingress", &s.ingressAddress},
+      {"network.listeners.egress", &s.egressAddress},
+      {"network.listeners.frontend", &s.frontendAddress},
+      {"network.listeners.readiness", &s.readinessAddress},
+      {"network.listeners.control_plane", &s.controlAddress},
       {"self_node.app_address", &s.appAddress}};
   for (const auto& [field, address] : addresses) {
     if (auto problem = addressProblem(field, *address); !problem.empty()) {
@@ -109,8 +109,8 @@
     }
   }
   s.internalPort = network["internal_port_range"][0].get<std::uint16_t>();
-  if (!s.ingress.empty()) s.ingressPort = Poco::Net::SocketAddress(s.ingress).port();
-  if (!s.control.empty()) s.controlPort = Poco::Net::SocketAddress(s.control).port();
+  if (!s.ingressAddress.empty()) s.ingressPort = Poco::Net::SocketAddress(s.ingressAddress).port();
+  if (!s.controlAddress.empty()) s.controlPort = Poco::Net::SocketAddress(s.controlAddress).port();
   if (auto problem = roleProblem(node, s); !problem.empty()) {
     return {std::nullopt, "settings: " + problem};
   }
@@ -122,17 +122,18 @@
     s.seeds.emplace_back(address.substr(0, address.find(':')));
   }
   if (document.contains("platform_config")) {
-    s.heartbeat = fromSeconds(document["platform_config"].value("heartbeat_interval_s", 1.5));
+    s.heartbeatInterval =
+        fromSeconds(document["platform_config"].value("heartbeat_interval_s", 1.5));
   }
   const auto& terms = document["policy_terms"];
   readTerms(terms["timing_bounds"], s);
   if (terms.contains("fault_tolerance")) {
-    s.tolerance = terms["fault_tolerance"].value("machines", s.tolerance);
+    s.faultTolerance = terms["fault_tolerance"].value("machines", s.faultTolerance);
   }
   return {s, ""};
 }
 
-SettingsRead readSettings(const std::string& path) {
+SettingsResult loadSettings(const std::string& path) {
   if (path.empty()) return {std::nullopt, "settings: MERLINGAUGE_SETTINGS is not set"};
   std::ifstream file(path);
   if (!file) return {std::nullopt, "settings: can't read " + path};
@@ -141,4 +142,4 @@
   return parseSettings(text.str());
 }
 
-}  // namespace merlin::hut
+}  // namespace merlingauge::node
--- a/src/request/wayfinder.hpp
+++ b/src/proxy/d_adaptive_picker.hpp
@@ -8,27 +8,27 @@
 #include <random>
 #include <vector>
 
-namespace merlin::trail {
+namespace merlingauge::proxy {
 
 // What the picker sees of one candidate.
-struct Look {
-  double jobs = 0;  // requests there: running and waiting, as far as this node can tell
+struct QueueSample {
+  double queueLength = 0;  // requests there: running and waiting, as far as this node can tell
 };
 
-struct Choice {
+struct PickResult {
   std::size_t index = 0;
   std::size_t samples = 0;  // how many candidates were read
 };
 
 // f(k): how many more to sample after reading k. Never falls, never below 1.
 using SampleRule = std::function<std::size_t(double k)>;
-std::size_t sampleAsMany(double k);  // f(k) = k, at least 1
+std::size_t sampleQueueLength(double k);  // f(k) = k, at least 1
 
-class Wayfinder {
+class DAdaptivePicker {
  public:
-  explicit Wayfinder(std::uint64_t seed, SampleRule rule = sampleAsMany);
+  explicit DAdaptivePicker(std::uint64_t seed, SampleRule rule = sampleQueueLength);
   // `looks` must not be empty.
-  Choice pick(const std::vector<Look>& looks);
+  PickResult pick(const std::vector<QueueSample>& looks);
   double uniform();
 
  private:
@@ -38,4 +38,4 @@
   std::vector<std::size_t> order_;
 };
 
-}  // namespace merlin::trail
+}  // namespace merlingauge::proxy
--- a/src/process/cellar.cpp
+++ b/src/storage/durable_store.cpp
@@ -1,4 +1,4 @@
-#include "process/cellar.hpp"
+#include "storage/durable_store.hpp"
 
 #include <fcntl.h>
 #include <lmdb.h>
@@ -12,7 +12,9 @@
 #include <cstring>
 #include <utility>
 
-namespace merlin::hut {
+#include "base/hash.hpp"
+
+namespace merlingauge::storage {
 
 namespace {
 constexpr const char* kHead = "ledge";
@@ -57,7 +59,7 @@
     for (const auto n : {number, pageBytes, metas[0], metas[1], newest}) {
       text += std::to_string(n) + "/";
     }
-    return mixHash(text, 3);
+    return stableHash(text, 3);
   }
 };
 // Far enough apart that no torn write of one touches the other.
@@ -102,7 +104,7 @@
 }
 
 std::string sealed(const std::string& record) {
-  const std::uint64_t sum = mixHash(record);
+  const std::uint64_t sum = stableHash(record);
   std::string out(kSumBytes, '\0');
   std::memcpy(out.data(), &sum, kSumBytes);
   return out + record;
@@ -114,7 +116,7 @@
   std::memcpy(&sum, value.mv_data, kSumBytes);
   std::string record(static_cast<const char*>(value.mv_data) + kSumBytes,
                      value.mv_size - kSumBytes);
-  if (mixHash(record) != sum) return std::nullopt;
+  if (stableHash(record) != sum) return std::nullopt;
   return record;
 }
 
@@ -128,10 +130,10 @@
 }
 }  // namespace
 
-Cellar::Cellar(Bell& bell, std::string folder, std::size_t bytes)
-    : bell_(bell), folder_(std::move(folder)), bytes_(bytes) {}
+DurableStore::DurableStore(event::EventLoop& loop, std::string folder, std::size_t bytes)
+    : loop_(loop), directory_(std::move(folder)), mapBytes_(bytes) {}
 
-Cellar::~Cellar() {
+DurableStore::~DurableStore() {
   if (thread_.joinable()) {
     {
       const std::lock_guard<std::mutex> hold(lock_);
@@ -141,11 +143,11 @@
     thread_.join();
   }
   closeEnv();
-  if (held_ >= 0) ::close(held_);
+  if (directoryLock_ >= 0) ::close(directoryLock_);
 }
 
 // Shared, so that a process that ends late never keeps its successor from starting.
-bool Cellar::free(const std::string& folder) {
+bool DurableStore::isUnused(const std::string& folder) {
   const int fd = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (fd < 0) return true;
   const bool mine = ::flock(fd, LOCK_EX | LOCK_NB) == 0;
@@ -153,58 +155,59 @@
   return mine;
 }
 
-bool Cellar::failed(const std::string& what) {
-  problem_ = what;
+bool DurableStore::failed(const std::string& what) {
+  error_ = what;
   closeEnv();
   return false;
 }
 
 // Puts the meta pages back to what the newest seal that fits them says.
-Cellar::Found Cellar::mendMeta() {
+DurableStore::LoadStatus DurableStore::repairMetaPages() {
   const auto seals = readSeals(file(kSeals));
-  if (!seals.empty()) seals_ = std::max(seals_, seals.front().number);
-  if (!exists(file(kData))) return seals.empty() ? Found::nothing : Found::damage;
+  if (!seals.empty()) commitRecords_ = std::max(commitRecords_, seals.front().number);
+  if (!exists(file(kData))) return seals.empty() ? LoadStatus::empty : LoadStatus::corrupt;
   // Nothing was ever said that rests on a commit without a seal.
-  if (seals.empty()) return Found::nothing;
+  if (seals.empty()) return LoadStatus::empty;
   for (const auto& seal : seals) {
     const auto metas = readMetas(file(kData), seal.pageBytes);
     if (!metas || seal.newest >= kMetaPages) continue;
     const auto good = static_cast<std::size_t>(seal.newest);
-    if (mixHash(metas->at(good)) != seal.metas.at(good)) continue;
+    if (stableHash(metas->at(good)) != seal.metas.at(good)) continue;
     const std::size_t other = 1 - good;
-    if (mixHash(metas->at(other)) == seal.metas.at(other)) return Found::record;
+    if (stableHash(metas->at(other)) == seal.metas.at(other)) return LoadStatus::loaded;
     const File data(file(kData), O_RDWR);
     if (!data.good() ||
         !data.write(metas->at(good).data(), seal.pageBytes, other * seal.pageBytes) ||
         !data.sync()) {
-      problem_ = "a meta page can't be mended";
-      return Found::damage;
+      error_ = "a meta page can't be mended";
+      return LoadStatus::corrupt;
     }
-    return Found::record;
+    return LoadStatus::loaded;
   }
-  return Found::damage;
+  return LoadStatus::corrupt;
 }
 
-void Cellar::putAside() {
+void DurableStore::quarantine() {
   closeEnv();
   for (const char* name : {kData, kSeals}) ::unlink(file(name).c_str());
-  syncFolder(folder_);
-  textHeld_ = 0;
+  syncFolder(directory_);
+  storedTextId_ = 0;
 }
 
-bool Cellar::open() {
+bool DurableStore::open() {
   if (env_ != nullptr) return true;
-  const bool fresh = ::mkdir(folder_.c_str(), 0700) == 0;
-  if (fresh) syncFolder(folder_.substr(0, folder_.rfind('/')));
-  const auto found = mendMeta();
-  if (found == Found::damage) return failed(problem_.empty() ? "the files are damaged" : problem_);
-  if (found == Found::nothing && exists(file(kData))) putAside();
-  textHeld_ = 0;
+  const bool fresh = ::mkdir(directory_.c_str(), 0700) == 0;
+  if (fresh) syncFolder(directory_.substr(0, directory_.rfind('/')));
+  const auto found = repairMetaPages();
+  if (found == LoadStatus::corrupt)
+    return failed(error_.empty() ? "the files are damaged" : error_);
+  if (found == LoadStatus::empty && exists(file(kData))) quarantine();
+  storedTextId_ = 0;
   int rc = mdb_env_create(&env_);
   if (rc != 0) return failed(mdb_strerror(rc));
-  mdb_env_set_mapsize(env_, bytes_);
+  mdb_env_set_mapsize(env_, mapBytes_);
   // One process, one writing thread: LMDB's own lock file is not needed.
-  rc = mdb_env_open(env_, folder_.c_str(), MDB_NOLOCK | MDB_NOTLS | MDB_NORDAHEAD, kMode);
+  rc = mdb_env_open(env_, directory_.c_str(), MDB_NOLOCK | MDB_NOTLS | MDB_NORDAHEAD, kMode);
   if (rc != 0) return failed(mdb_strerror(rc));
   MDB_txn* txn = nullptr;
   rc = mdb_txn_begin(env_, nullptr, MDB_RDONLY, &txn);
@@ -218,21 +221,21 @@
   return rc == 0 || failed(mdb_strerror(rc));
 }
 
-void Cellar::closeEnv() {
+void DurableStore::closeEnv() {
   if (env_ != nullptr) mdb_env_close(env_);
   env_ = nullptr;
 }
 
-std::optional<Cellar::Loaded> Cellar::load() {
-  found_ = exists(file(kData)) ? mendMeta() : Found::nothing;
-  if (found_ != Found::record) {
-    if (found_ == Found::damage) {
-      problem_ = "the files are damaged";
-      putAside();
+std::optional<DurableStore::StoredState> DurableStore::load() {
+  loadStatus_ = exists(file(kData)) ? repairMetaPages() : LoadStatus::empty;
+  if (loadStatus_ != LoadStatus::loaded) {
+    if (loadStatus_ == LoadStatus::corrupt) {
+      error_ = "the files are damaged";
+      quarantine();
     }
     return std::nullopt;
   }
-  found_ = Found::damage;  // unless all of it can be read
+  loadStatus_ = LoadStatus::corrupt;  // unless all of it can be read
   if (!open()) return std::nullopt;
   MDB_txn* txn = nullptr;
   if (mdb_txn_begin(env_, nullptr, MDB_RDONLY, &txn) != 0) return std::nullopt;
@@ -246,23 +249,23 @@
   const auto text = get(kText);
   mdb_txn_abort(txn);
   if (!head || !text) {
-    problem_ = "the record is damaged";
-    putAside();
+    error_ = "the record is damaged";
+    quarantine();
     return std::nullopt;
   }
-  found_ = Found::record;
-  return Loaded{*head, *text};
+  loadStatus_ = LoadStatus::loaded;
+  return StoredState{*head, *text};
 }
 
-bool Cellar::seal() {
+bool DurableStore::writeCommitRecord() {
   MDB_stat info{};
   if (mdb_env_stat(env_, &info) != 0) return false;
   Seal seal;
-  seal.number = seals_ + 1;
+  seal.number = commitRecords_ + 1;
   seal.pageBytes = info.ms_psize;
   const auto metas = readMetas(file(kData), info.ms_psize);
   if (!metas) return false;
-  for (std::size_t i = 0; i < kMetaPages; ++i) seal.metas.at(i) = mixHash(metas->at(i));
+  for (std::size_t i = 0; i < kMetaPages; ++i) seal.metas.at(i) = stableHash(metas->at(i));
   MDB_envinfo env{};
   if (mdb_env_info(env_, &env) != 0) return false;
   seal.newest = env.me_last_txnid & 1U;
@@ -275,20 +278,20 @@
     return false;
   }
   // Both files may be new in it.
-  if (fresh && !syncFolder(folder_)) return false;
-  seals_ = seal.number;
+  if (fresh && !syncFolder(directory_)) return false;
+  commitRecords_ = seal.number;
   return true;
 }
 
-bool Cellar::write(const Record& record) {
+bool DurableStore::commit(const Record& record) {
   if (!open()) return false;
-  const std::uint64_t id = record.text ? record.text->id() : 1;
+  const std::uint64_t id = record.configText ? record.configText->id() : 1;
   MDB_txn* txn = nullptr;
   int rc = mdb_txn_begin(env_, nullptr, 0, &txn);
   if (rc == 0) {
     rc = put(txn, dbi_, kHead, record.head);
-    if (rc == 0 && textHeld_ != id) {
-      rc = put(txn, dbi_, kText, record.text ? record.text->text() : "");
+    if (rc == 0 && storedTextId_ != id) {
+      rc = put(txn, dbi_, kText, record.configText ? record.configText->text() : "");
     }
     if (rc == 0) {
       rc = mdb_txn_commit(txn);
@@ -298,22 +301,23 @@
   }
   // The meta page is written last: it must be on the disk too.
   if (rc == 0) rc = mdb_env_sync(env_, 1);
-  if (rc == 0 && !seal()) rc = EIO;
+  if (rc == 0 && !writeCommitRecord()) rc = EIO;
   // After a failed write nothing of it counts: the files are opened anew, as the seals say.
   if (rc != 0) return failed(mdb_strerror(rc));
-  textHeld_ = id;
-  ++saves_;
+  storedTextId_ = id;
+  ++commitCount_;
   return true;
 }
 
-void Cellar::start() {
-  ::mkdir(folder_.c_str(), 0700);
-  held_ = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (held_ >= 0 && ::flock(held_, LOCK_SH | LOCK_NB) != 0) problem_ = "the folder is in use";
+void DurableStore::start() {
+  ::mkdir(directory_.c_str(), 0700);
+  directoryLock_ = ::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  if (directoryLock_ >= 0 && ::flock(directoryLock_, LOCK_SH | LOCK_NB) != 0)
+    error_ = "the folder is in use";
   thread_ = std::thread([this] { work(); });
 }
 
-void Cellar::save(Record record, Done done) {
+void DurableStore::save(Record record, WriteCallback done) {
   {
     const std::lock_guard<std::mutex> hold(lock_);
     if (!jobs_.empty() && jobs_.back().record) {
@@ -327,7 +331,7 @@
   wake_.notify_one();
 }
 
-void Cellar::after(Done done) {
+void DurableStore::afterPendingWrites(WriteCallback done) {
   {
     const std::lock_guard<std::mutex> hold(lock_);
     if (jobs_.empty()) jobs_.push_back({std::nullopt, {}});
@@ -336,14 +340,14 @@
   wake_.notify_one();
 }
 
-std::size_t Cellar::backlog() {
+std::size_t DurableStore::pendingWrites() {
   const std::lock_guard<std::mutex> hold(lock_);
   std::size_t sum = 0;
   for (const auto& job : jobs_) sum += job.done.size();
   return sum;
 }
 
-void Cellar::work() {
+void DurableStore::work() {
   for (;;) {
     Job job;
     {
@@ -353,11 +357,11 @@
       job = std::move(jobs_.front());
       jobs_.pop_front();
     }
-    const bool ok = !job.record || write(*job.record);
-    bell_.post([done = std::move(job.done), ok] {
+    const bool ok = !job.record || commit(*job.record);
+    loop_.post([done = std::move(job.done), ok] {
       for (const auto& tell : done) tell(ok);
     });
   }
 }
 
-}  // namespace merlin::hut
+}  // namespace merlingauge::storage
--- a/src/process/cellar.hpp
+++ b/src/storage/durable_store.hpp
@@ -18,76 +18,76 @@
 #include <thread>
 #include <vector>
 
-#include "process/bell.hpp"
-#include "version/signboard.hpp"
+#include "config/config_text.hpp"
+#include "event/event_loop.hpp"
 
 struct MDB_env;
 
-namespace merlin::hut {
+namespace merlingauge::storage {
 
-class Cellar {
+class DurableStore {
  public:
-  using Done = std::function<void(bool ok)>;
+  using WriteCallback = std::function<void(bool ok)>;
   struct Record {
     std::string head;
-    cairn::Signboard::Ptr text;  // large and seldom changed: written only when it has
+    config::ConfigText::Ptr configText;  // large and seldom changed: written only when it has
   };
-  struct Loaded {
+  struct StoredState {
     std::string head;
-    std::string text;
+    std::string configText;
   };
-  enum class Found : std::uint8_t { nothing, record, damage };
+  enum class LoadStatus : std::uint8_t { empty, loaded, corrupt };
 
-  Cellar(Bell& bell, std::string folder, std::size_t bytes);
-  ~Cellar();
-  Cellar(const Cellar&) = delete;
-  Cellar& operator=(const Cellar&) = delete;
+  DurableStore(event::EventLoop& loop, std::string folder, std::size_t bytes);
+  ~DurableStore();
+  DurableStore(const DurableStore&) = delete;
+  DurableStore& operator=(const DurableStore&) = delete;
 
   // False while a process holds the folder.
-  static bool free(const std::string& folder);
+  static bool isUnused(const std::string& folder);
   // Before `start`: what was saved, if it is there and whole. What is damaged is put aside.
-  std::optional<Loaded> load();
-  [[nodiscard]] Found found() const { return found_; }
+  std::optional<StoredState> load();
+  [[nodiscard]] LoadStatus loadStatus() const { return loadStatus_; }
   void start();
   // Writes and syncs the record; later saves that wait together are written as one.
-  void save(Record record, Done done);
+  void save(Record record, WriteCallback done);
   // Runs after everything handed in before, without writing.
-  void after(Done done);
-  [[nodiscard]] std::size_t backlog();
+  void afterPendingWrites(WriteCallback done);
+  [[nodiscard]] std::size_t pendingWrites();
   // The largest text that can be saved again and again: the one before stays until a new one is
   // whole, and freed pages are not always in one piece.
-  [[nodiscard]] std::size_t mostText() const { return bytes_ / 5; }
+  [[nodiscard]] std::size_t maxTextBytes() const { return mapBytes_ / 5; }
   // How often something was written and synced since the start.
-  [[nodiscard]] std::uint64_t saves() const { return saves_; }
-  [[nodiscard]] const std::string& problem() const { return problem_; }
+  [[nodiscard]] std::uint64_t commitCount() const { return commitCount_; }
+  [[nodiscard]] const std::string& error() const { return error_; }
   // The write itself, on the calling thread; for `work` and for tests.
-  bool write(const Record& record);
+  bool commit(const Record& record);
 
  private:
   struct Job {
     std::optional<Record> record;
-    std::vector<Done> done;
+    std::vector<WriteCallback> done;
   };
   void work();
   bool open();
   void closeEnv();
   bool failed(const std::string& what);
-  Found mendMeta();
-  bool seal();
-  void putAside();
-  [[nodiscard]] std::string file(const char* name) const { return folder_ + "/" + name; }
+  LoadStatus repairMetaPages();
+  bool writeCommitRecord();
+  void quarantine();
+  [[nodiscard]] std::string file(const char* name) const { return directory_ + "/" + name; }
 
-  Bell& bell_;
-  std::string folder_;
-  int held_ = -1;  // the folder, marked as in use
-  std::size_t bytes_;
+  event::EventLoop& loop_;
+  std::string directory_;
+  int directoryLock_ = -1;  // the folder, marked as in use
+  std::size_t mapBytes_;
   MDB_env* env_ = nullptr;
   unsigned dbi_ = 0;
-  std::uint64_t textHeld_ = 0;  // the text that is on the disk
-  std::uint64_t seals_ = 0;     // how many have been written
-  std::atomic<std::uint64_t> saves_{0};
-  Found found_ = Found::nothing;
-  std::string problem_;
+  std::uint64_t storedTextId_ = 0;   // the text that is on the disk
+  std::uint64_t commitRecords_ = 0;  // how many have been written
+  std::atomic<std::uint64_t> commitCount_{0};
+  LoadStatus loadStatus_ = LoadStatus::empty;
+  std::string error_;
   std::mutex lock_;
   std::condition_variable wake_;
   std::deque<Job> jobs_;
@@ -95,4 +95,4 @@
   std::thread thread_;
 };
 
-}  // namespace merlin::hut
+}  // namespace merlingauge::storage
--- a/src/process/snapshot.cpp
+++ b/src/storage/state_snapshot.cpp
@@ -1,4 +1,4 @@
-#include "process/snapshot.hpp"
+#include "storage/state_snapshot.hpp"
 
 #include <Poco/SHA1Engine.h>
 #include <fcntl.h>
@@ -13,13 +13,13 @@
 #include <sstream>
 #include <thread>
 
-#include "version/register.hpp"
+#include "consensus/register.hpp"
 
-namespace merlin::hut {
+namespace merlingauge::storage {
 
 using nlohmann::json;
 namespace fs = std::filesystem;
-using End = SnapshotDone::End;
+using End = SnapshotResult::Status;
 
 namespace {
 constexpr const char* kFormat = "merlingauge snapshot";
@@ -42,8 +42,9 @@
   return bytes.str();
 }
 
-std::optional<cairn::Ledge> ledgeOf(const Cellar::Loaded& record) {
-  return cairn::Ledge::restore(NodeId(), {record.head, cairn::Signboard::of(record.text)});
+std::optional<consensus::Acceptor> ledgeOf(const DurableStore::StoredState& record) {
+  return consensus::Acceptor::restore(NodeId(),
+                                      {record.head, config::ConfigText::create(record.configText)});
 }
 
 // Whole or not at all, and on the disk.
@@ -69,34 +70,35 @@
   return good;
 }
 
-std::optional<Cellar::Loaded> readFile(const std::string& file, SnapshotDone& done) {
+std::optional<DurableStore::StoredState> readFile(const std::string& file, SnapshotResult& done) {
   std::error_code error;
   const auto size = fs::file_size(file, error);
   if (error) {
-    done = {End::noInput, "can't read " + file};
+    done = {End::inputMissing, "can't read " + file};
     return std::nullopt;
   }
   std::string problem = "larger than any snapshot";
-  std::optional<Cellar::Loaded> record;
-  if (size <= kMostFile) record = readSnapshot(contents(file), problem);
-  if (!record) done = {End::badData, file + ": " + problem};
+  std::optional<DurableStore::StoredState> record;
+  if (size <= kMostFile) record = decodeSnapshot(contents(file), problem);
+  if (!record) done = {End::corrupt, file + ": " + problem};
   return record;
 }
 }  // namespace
 
-std::string writeSnapshot(const Cellar::Loaded& record) {
-  const auto ledge = ledgeOf(record);
+std::string encodeSnapshot(const DurableStore::StoredState& record) {
+  const auto acceptor = ledgeOf(record);
   const json line = {{"format", kFormat},
                      {"version", kVersion},
-                     {"revision", ledge ? ledge->value().revision().value : 0},
-                     {"epoch", ledge ? ledge->value().epoch : 0},
+                     {"revision", acceptor ? acceptor->value().revision().value : 0},
+                     {"epoch", acceptor ? acceptor->value().epoch : 0},
                      {"head_bytes", record.head.size()},
-                     {"text_bytes", record.text.size()},
-                     {"sha1", checksum(record.head, record.text)}};
-  return line.dump() + "\n" + record.head + record.text;
+                     {"text_bytes", record.configText.size()},
+                     {"sha1", checksum(record.head, record.configText)}};
+  return line.dump() + "\n" + record.head + record.configText;
 }
 
-std::optional<Cellar::Loaded> readSnapshot(const std::string& bytes, std::string& problem) {
+std::optional<DurableStore::StoredState> decodeSnapshot(const std::string& bytes,
+                                                        std::string& problem) {
   const auto end = bytes.substr(0, kMostLine).find('\n');
   const auto line = json::parse(bytes.substr(0, std::min(end, kMostLine)), nullptr, false);
   if (end == std::string::npos || !line.is_object() || line.value("format", json()) != kFormat) {
@@ -117,8 +119,9 @@
     return std::nullopt;
   }
   const auto headSize = headBytes.get<std::size_t>();
-  Cellar::Loaded record{bytes.substr(end + 1, headSize), bytes.substr(end + 1 + headSize)};
-  if (line.value("sha1", json()) != checksum(record.head, record.text)) {
+  DurableStore::StoredState record{bytes.substr(end + 1, headSize),
+                                   bytes.substr(end + 1 + headSize)};
+  if (line.value("sha1", json()) != checksum(record.head, record.configText)) {
     problem = "the checksum differs";
     return std::nullopt;
   }
@@ -131,7 +134,7 @@
 
 // A page that the newest commit reaches isn't written before the next one is in place: a copy with
 // the same meta pages and seals before and after it is that commit, whole.
-SnapshotDone saveSnapshot(const std::string& file, const std::string& data) {
+SnapshotResult saveSnapshot(const std::string& file, const std::string& data) {
   const fs::path from = fs::path(data) / "register";
   const auto marks = [&] {
     std::ifstream in(from / "data.mdb", std::ios::binary);
@@ -140,14 +143,15 @@
     return metas + contents(from / "seals");
   };
   if (!fs::exists(from / "data.mdb")) {
-    return {End::noInput, "no state of a voter in " + from.string()};
+    return {End::inputMissing, "no state of a voter in " + from.string()};
   }
   const fs::path copy = file + ".copy";
   std::error_code error;
   const auto clear = [&] { fs::remove_all(copy, error); };
   clear();
-  if (!fs::create_directory(copy, error)) return {End::noOutput, "can't write " + copy.string()};
-  std::optional<Cellar::Loaded> record;
+  if (!fs::create_directory(copy, error))
+    return {End::outputFailed, "can't write " + copy.string()};
+  std::optional<DurableStore::StoredState> record;
   for (int i = 0; i < kTries && !record; ++i) {
     if (i > 0) std::this_thread::sleep_for(kPause);
     const auto before = marks();
@@ -155,52 +159,53 @@
       fs::copy_file(from / name, copy / name, fs::copy_options::overwrite_existing, error);
     }
     if (marks() != before) continue;
-    Bell bell;
-    Cellar cellar(bell, copy.string(), fs::file_size(copy / "data.mdb", error) + (1U << 20U));
-    record = cellar.load();
+    event::EventLoop loop;
+    DurableStore store(loop, copy.string(), fs::file_size(copy / "data.mdb", error) + (1U << 20U));
+    record = store.load();
     if (record && !ledgeOf(*record)) record.reset();
     // Nobody writes there, and still it can't be read.
     if (!record && i > 2) break;
   }
   clear();
-  if (!record) return {End::badData, "the state in " + from.string() + " can't be read"};
-  const auto ledge = ledgeOf(*record);
-  if (!writeFile(file, writeSnapshot(*record))) return {End::noOutput, "can't write " + file};
-  return {End::done, file + ": version " + std::to_string(ledge->value().revision().value)};
+  if (!record) return {End::corrupt, "the state in " + from.string() + " can't be read"};
+  const auto acceptor = ledgeOf(*record);
+  if (!writeFile(file, encodeSnapshot(*record))) return {End::outputFailed, "can't write " + file};
+  return {End::ok, file + ": version " + std::to_string(acceptor->value().revision().value)};
 }
 
-SnapshotDone restoreSnapshot(const std::string& file, const std::string& data, bool force) {
-  SnapshotDone done;
+SnapshotResult restoreSnapshot(const std::string& file, const std::string& data, bool force) {
+  SnapshotResult done;
   auto record = readFile(file, done);
   if (!record) return done;
   const fs::path to = fs::path(data) / "register";
   std::error_code error;
   fs::create_directories(data, error);
-  if (!Cellar::free(to.string())) {
-    return {End::busy, "a process runs on " + to.string() + ": stop it first"};
+  if (!DurableStore::isUnused(to.string())) {
+    return {End::directoryInUse, "a process runs on " + to.string() + ": stop it first"};
   }
   if (fs::exists(to) && !fs::is_empty(to, error)) {
-    if (!force) return {End::taken, to.string() + " holds state already; --force puts it away"};
+    if (!force)
+      return {End::directoryNotEmpty, to.string() + " holds state already; --force puts it away"};
     fs::remove_all(to, error);
   }
   std::random_device device;
   const auto luck = (static_cast<std::uint64_t>(device()) << 32U) ^ device();
-  const auto saved =
-      cairn::Ledge::fenced({record->head, cairn::Signboard::of(std::move(record->text))}, luck);
-  Bell bell;
-  Cellar cellar(bell, to.string(), 5 * saved->text->text().size() + (8U << 20U));
-  if (!cellar.write({saved->head, saved->text})) {
-    return {End::noOutput, "can't write " + to.string() + ": " + cellar.problem()};
+  const auto saved = consensus::Acceptor::fencedState(
+      {record->head, config::ConfigText::create(std::move(record->configText))}, luck);
+  event::EventLoop loop;
+  DurableStore store(loop, to.string(), 5 * saved->configText->text().size() + (8U << 20U));
+  if (!store.commit({saved->head, saved->configText})) {
+    return {End::outputFailed, "can't write " + to.string() + ": " + store.error()};
   }
-  return {End::done, to.string() + ": put back; the node reads the other voters before it votes"};
+  return {End::ok, to.string() + ": put back; the node reads the other voters before it votes"};
 }
 
-SnapshotDone showSnapshot(const std::string& file) {
-  SnapshotDone done;
+SnapshotResult showSnapshot(const std::string& file) {
+  SnapshotResult done;
   const auto record = readFile(file, done);
   if (!record) return done;
-  if (record->text.empty()) return {End::badData, file + ": no configuration in it"};
-  return {End::done, record->text};
+  if (record->configText.empty()) return {End::corrupt, file + ": no configuration in it"};
+  return {End::ok, record->configText};
 }
 
-}  // namespace merlin::hut
+}  // namespace merlingauge::storage
--- a/tests/calls.cpp
+++ b/tests/http/client_exchange_test.cpp
@@ -6,15 +6,15 @@
 #include <iostream>
 #include <thread>
 
-#include "connection/call.hpp"
-#include "process/bell.hpp"
+#include "event/event_loop.hpp"
+#include "http/client_exchange.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 namespace net = Poco::Net;
-using saddle::BodyKind;
-using saddle::Call;
+using http::ClientExchange;
+using http::FramingKind;
 
 // Reads a head on each connection, writes its text, and closes or leaves the connection open; an
 // open one serves its next head with the next text.
@@ -86,46 +86,46 @@
 };
 
 Ended play(const std::vector<Peer::Saying>& sayings, int calls, std::size_t bodyBytes = 0) {
-  hut::Bell bell;
-  saddle::Ropes ropes(bell, {});
+  event::EventLoop loop;
+  http::ConnectionPool pool(loop, {});
   Peer peer(sayings);
   Ended out;
-  std::vector<Call::Ptr> made;
+  std::vector<ClientExchange::Ptr> made;
   std::function<void(int)> make = [&](int number) {
     net::HTTPRequest request("POST", "/", "HTTP/1.1");
     request.set("Attempt-Id", std::to_string(number));
-    const auto kind = bodyBytes > 0 ? BodyKind::length : BodyKind::none;
-    saddle::planHeaders({kind, bodyBytes}, request);
-    const auto call = ropes.call(peer.address(), request, kind, std::chrono::seconds(20));
+    const auto kind = bodyBytes > 0 ? FramingKind::contentLength : FramingKind::none;
+    http::setFramingHeaders({kind, bodyBytes}, request);
+    const auto call = pool.startExchange(peer.address(), request, kind, std::chrono::seconds(20));
     made.push_back(call);
     const auto body = std::make_shared<std::string>();
     const auto ended = [&, number](const std::string& how) {
       out.calls.push_back(how);
       // The peer's next word, if it says more than one at a time, has come by then.
-      bell.after(std::chrono::milliseconds(50), [&, number] {
+      loop.after(std::chrono::milliseconds(50), [&, number] {
         if (number < calls) {
           make(number + 1);
         } else {
-          bell.stop();
+          loop.stop();
         }
       });
     };
     call->onBody = [body](std::string& bytes) { body->append(std::exchange(bytes, "")); };
-    call->onDone = [ended, body] { ended(*body); };
-    call->onFail = [ended](Call::Failure failure) {
+    call->onComplete = [ended, body] { ended(*body); };
+    call->onFailure = [ended](ClientExchange::Failure failure) {
       const char* const names[] = {"notSent", "stale", "unclear", "cut", "junk"};
       ended(names[static_cast<int>(failure)]);
     };
-    bell.after(std::chrono::seconds(20), [&bell, &out] {
+    loop.after(std::chrono::seconds(20), [&loop, &out] {
       out.calls.emplace_back("no end");
-      bell.stop();
+      loop.stop();
     });
-    if (bodyBytes > 0) call->body(std::string(bodyBytes, 'x'));
-    call->bodyEnd();
+    if (bodyBytes > 0) call->sendBody(std::string(bodyBytes, 'x'));
+    call->endBody();
   };
-  bell.later([&] { make(1); });
-  bell.run();
-  out.dialled = ropes.dialled();
+  loop.defer([&] { make(1); });
+  loop.run();
+  out.dialled = pool.connectionsOpened();
   return out;
 }
 
@@ -161,9 +161,9 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
 int main() {
-  merlin::test::playAll();
-  return merlin::test::failed == 0 ? 0 : 1;
+  merlingauge::test::playAll();
+  return merlingauge::test::failed == 0 ? 0 : 1;
 }
--- a/tests/orders.cpp
+++ b/tests/loopback/change_history_test.cpp
@@ -3,7 +3,7 @@
 // costs.
 #include "hosts.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 int changes = 60;
@@ -119,9 +119,9 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
 int main(int argc, char** argv) {
-  if (argc > 2) merlin::test::changes = std::stoi(argv[2]);
-  return merlin::test::runPlay(std::min(argc, 2), argv, merlin::test::play);
+  if (argc > 2) merlingauge::test::changes = std::stoi(argv[2]);
+  return merlingauge::test::runPlay(std::min(argc, 2), argv, merlingauge::test::play);
 }
--- a/tests/storm.cpp
+++ b/tests/loopback/config_storm_test.cpp
@@ -9,7 +9,7 @@
 
 #include "hosts.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 constexpr int kRestarts = 6;
@@ -196,15 +196,15 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
 // stormtest PROGRAM [ROUTES [GAP_MS [SECONDS]]]
 int main(int argc, char** argv) {
-  merlin::test::Sizes sizes;
+  merlingauge::test::Sizes sizes;
   if (argc > 2) sizes.routes = std::atoi(argv[2]);
   if (argc > 3) sizes.gapMs = std::atoi(argv[3]);
   if (argc > 4) sizes.seconds = std::atoi(argv[4]);
-  return merlin::test::runPlay(std::min(argc, 2), argv, [&](const std::string& program) {
-    merlin::test::play(program, sizes);
+  return merlingauge::test::runPlay(std::min(argc, 2), argv, [&](const std::string& program) {
+    merlingauge::test::play(program, sizes);
   });
 }
--- a/tests/faults.cpp
+++ b/tests/loopback/fault_matrix_test.cpp
@@ -15,7 +15,7 @@
 
 #include "house.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 constexpr double kSettleMs = 150;
@@ -109,14 +109,14 @@
 // links that may be struck, a client. Stays where it is until the process ends.
 class Play {
  public:
-  Play(Bell& bell, const Case& c, std::size_t number, std::function<void(Play&)> done)
-      : bell_(bell), case_(c), done_(std::move(done)) {
+  Play(EventLoop& loop, const Case& c, std::size_t number, std::function<void(Play&)> done)
+      : bell_(loop), case_(c), done_(std::move(done)) {
     trap_.step = c.step;
     trap_.fault = c.fault;
     trap_.target = "target";
     trap_.big = c.big;
     house_ = std::make_unique<House>(
-        bell, number, c.gateway, c.where,
+        loop, number, c.gateway, c.where,
         [this](const auto& at, const auto& to, const auto& other, int i) {
           links_.push_back(std::make_unique<Link>(bell_, at, to, other, i,
                                                   case_.where == Where::client, ledger_, trap_));
@@ -242,7 +242,7 @@
     if (status == 200 && runs == 0) ledger_.wrong("made up", told);
   }
 
-  Bell& bell_;
+  EventLoop& bell_;
   Case case_;
   std::function<void(Play&)> done_;
   Ledger ledger_;
@@ -270,7 +270,7 @@
 
 // Plays its share of the cases on a loop of its own.
 void work(const std::vector<Case>& cases, std::size_t first, std::size_t stride, Tally& tally) {
-  auto& bell = *new Bell;  // lives as long as the plays on it: to the end of the process
+  auto& loop = *new EventLoop;  // lives as long as the plays on it: to the end of the process
   auto& plays = *new std::deque<std::unique_ptr<Play>>;
   std::size_t next = first;
   std::size_t running = 0;
@@ -279,7 +279,7 @@
   std::function<void()> fill;
   std::function<void(std::size_t)> begin = [&](std::size_t number) {
     ++running;
-    plays.push_back(std::make_unique<Play>(bell, cases[number], number, [&, number](Play& play) {
+    plays.push_back(std::make_unique<Play>(loop, cases[number], number, [&, number](Play& play) {
       const bool once_more =
           !play.struck() && play.ledger().broken.empty() && ++tries[number] < kTries;
       {
@@ -296,7 +296,7 @@
           }
         }
       }
-      bell.after(fromMillis(20), [&, number, once_more] {
+      loop.after(fromMillis(20), [&, number, once_more] {
         --running;
         if (once_more) begin(number);
         fill();
@@ -309,19 +309,19 @@
       next += stride;
       begin(number);
     }
-    if (running == 0) bell.stop();
+    if (running == 0) loop.stop();
   };
   std::function<void()> look = [&] {
-    bell.after(fromMillis(kLookMs), [&, due = Bell::clock() + fromMillis(kLookMs)] {
-      const bool lags = Bell::clock() - due > fromMillis(kLagMs);
+    loop.after(fromMillis(kLookMs), [&, due = EventLoop::readClock() + fromMillis(kLookMs)] {
+      const bool lags = EventLoop::readClock() - due > fromMillis(kLagMs);
       atOnce = lags ? std::max(kAtOnceLeast, atOnce * 0.9) : std::min(kAtOnce, atOnce + 0.5);
       fill();
       look();
     });
   };
-  bell.later(fill);
-  bell.later(look);
-  bell.run();
+  loop.defer(fill);
+  loop.defer(look);
+  loop.run();
 }
 
 int run(const std::string& finds, std::size_t expected, const std::vector<std::string>& words) {
@@ -357,7 +357,7 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
@@ -370,7 +370,7 @@
   const std::string finds = mutant ? words[1] : "";
   const std::size_t expected = mutant || words.empty() ? 0 : std::stoul(words[0]);
   words.erase(words.begin(), words.begin() + (mutant ? 2 : words.empty() ? 0 : 1));
-  const int code = merlin::test::run(finds, expected, words);
+  const int code = merlingauge::test::run(finds, expected, words);
   std::cout.flush();
   std::_Exit(code);  // loops and plays are left as they are
 }
--- a/tests/gateway.cpp
+++ b/tests/loopback/gateway_test.cpp
@@ -4,7 +4,7 @@
 
 #include "hosts.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 // A server that answers each request twice: the second answer comes late, where the next is due.
@@ -172,6 +172,8 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
-int main(int argc, char** argv) { return merlin::test::runPlay(argc, argv, merlin::test::play); }
+int main(int argc, char** argv) {
+  return merlingauge::test::runPlay(argc, argv, merlingauge::test::play);
+}
--- a/tests/hostile.cpp
+++ b/tests/loopback/hostile_input_test.cpp
@@ -9,12 +9,12 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
+#include "consensus/register.hpp"
+#include "gossip/gossip_service.hpp"
 #include "house.hpp"
-#include "process/roster.hpp"
 #include "runner.hpp"
-#include "version/register.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 using nlohmann::json;
@@ -157,12 +157,13 @@
 // Bad callers beside an honest one, whose requests all have to be served.
 class BadCallers {
  public:
-  BadCallers(Bell& bell, std::size_t number, bool gateway, int attacks, std::function<void()> done)
-      : bell_(bell),
+  BadCallers(EventLoop& loop, std::size_t number, bool gateway, int attacks,
+             std::function<void()> done)
+      : bell_(loop),
         random_(number),
         left_(attacks),
         done_(std::move(done)),
-        house_(bell, number, gateway, std::nullopt, nullptr, ledger_),
+        house_(loop, number, gateway, std::nullopt, nullptr, ledger_),
         gateway_(gateway) {
     caller_ = newCaller();
     next();
@@ -189,7 +190,7 @@
   std::unique_ptr<Caller> newCaller() {
     auto caller = std::make_unique<Caller>(bell_, house_.way(), ledger_);
     caller->onIdle = [this] {
-      if (std::exchange(asking_, false)) bell_.after(Span(0), [this] { next(); });
+      if (std::exchange(asking_, false)) bell_.after(Duration(0), [this] { next(); });
     };
     return caller;
   }
@@ -230,7 +231,7 @@
     }
   }
 
-  Bell& bell_;
+  EventLoop& bell_;
   Random random_;
   int left_;
   std::function<void()> done_;
@@ -247,12 +248,13 @@
 // Servers that answer some requests badly, and the next ones of others well.
 class BadServers {
  public:
-  BadServers(Bell& bell, std::size_t number, bool gateway, int rounds, std::function<void()> done)
-      : bell_(bell),
+  BadServers(EventLoop& loop, std::size_t number, bool gateway, int rounds,
+             std::function<void()> done)
+      : bell_(loop),
         random_(number),
         left_(rounds),
         done_(std::move(done)),
-        house_(bell, number, gateway, std::nullopt, nullptr, ledger_) {
+        house_(loop, number, gateway, std::nullopt, nullptr, ledger_) {
     for (const auto& server : house_.standIns()) {
       server->twist = [this](const std::string& id, const std::string& honest) {
         return id[0] == 'x' ? spoiled(someAnswer(honest, id, random_), random_) : honest;
@@ -286,7 +288,7 @@
   }
   void ask(const std::vector<std::pair<std::string, std::string>>& requests,
            std::function<void()> then) {
-    bell_.after(Span(0), [this, requests, then = std::move(then)] {
+    bell_.after(Duration(0), [this, requests, then = std::move(then)] {
       if (!caller_ || !caller_->open()) {
         caller_ = std::make_unique<Caller>(bell_, house_.way(), ledger_);
       }
@@ -297,7 +299,7 @@
     });
   }
 
-  Bell& bell_;
+  EventLoop& bell_;
   Random random_;
   int left_;
   std::function<void()> done_;
@@ -308,16 +310,16 @@
 
 template <class Play>
 Outcome onSockets(std::size_t plays, int rounds, std::size_t firstAddress) {
-  auto& bell = *new Bell;  // stays, with what is on it
+  auto& loop = *new EventLoop;  // stays, with what is on it
   auto& all = *new std::vector<std::unique_ptr<Play>>;
   std::size_t running = plays;
   for (std::size_t i = 0; i < plays; ++i) {
-    all.push_back(std::make_unique<Play>(bell, firstAddress + i, i % 2 == 0, rounds, [&] {
-      if (--running == 0) bell.stop();
+    all.push_back(std::make_unique<Play>(loop, firstAddress + i, i % 2 == 0, rounds, [&] {
+      if (--running == 0) loop.stop();
     }));
   }
-  bell.after(fromMillis(kEndMs), [&bell] { bell.stop(); });
-  bell.run();
+  loop.after(fromMillis(kEndMs), [&loop] { loop.stop(); });
+  loop.run();
   Outcome out;
   if (running > 0) out.wrong.push_back(std::to_string(running) + " plays hang");
   for (const auto& play : all) play->tell(out);
@@ -377,10 +379,10 @@
 void news(std::uint64_t seed, std::size_t& heard, std::size_t& refused) {
   Clock clock(seed);
   struct Side {
-    std::unique_ptr<cairn::Guestbook> book;
-    std::unique_ptr<hut::Roster> roster;
-    cairn::Value value;
-    cairn::Evidence evidence;
+    std::unique_ptr<membership::InstanceRegistry> book;
+    std::unique_ptr<gossip::GossipService> roster;
+    consensus::RegisterValue value;
+    consensus::StalenessBound evidence;
     std::string text;
   };
   std::array<Side, 2> sides;
@@ -390,26 +392,29 @@
   };
   for (std::size_t i = 0; i < 2; ++i) {
     auto& side = sides.at(i);
-    side.book = std::make_unique<cairn::Guestbook>(
-        cairn::NodeFacts{ids[i], ZoneName("z"), i == 0, false, false, 0, Life{}}, Life{seed + i});
+    side.book = std::make_unique<membership::InstanceRegistry>(
+        membership::NodeInfo{ids[i], ZoneName("z"), i == 0, false, false, 0, Incarnation{}},
+        Incarnation{seed + i});
     // The first is a core that knows of many, the second a newcomer.
     for (std::size_t n = 0; i == 0 && n < 20; ++n) {
-      const cairn::Guestbook third(
-          {NodeId("10.0.1." + std::to_string(n)), ZoneName("z"), false, false, false, 0, Life{}},
-          Life{seed});
-      side.book->merge(json::parse(third.itemsIn(~0U, clock.now())),
-                       third.above(cairn::Tally(third.lives())), clock.now());
+      const membership::InstanceRegistry third(
+          {NodeId("10.0.1." + std::to_string(n)), ZoneName("z"), false, false, false, 0,
+           Incarnation{}},
+          Incarnation{seed});
+      side.book->merge(json::parse(third.itemsInRanges(~0U, clock.now())),
+                       third.entriesAbove(membership::VersionVector(third.sourceTable())),
+                       clock.now());
     }
     side.value.voters = ids;
-    side.value.config = cairn::Signboard::of(R"({"revision":1})");
-    hut::Roster::World world;
-    world.now = world.clock = [&clock] { return clock.now(); };
-    world.after = [&clock](Span wait, std::function<void()> then) {
+    side.value.config = config::ConfigText::create(R"({"revision":1})");
+    gossip::GossipService::Environment world;
+    world.now = world.readClock = [&clock] { return clock.now(); };
+    world.after = [&clock](Duration wait, std::function<void()> then) {
       clock.after(toMillis(wait) + 1, std::move(then));
       return std::uint64_t{0};
     };
     world.cancel = [](std::uint64_t) {};
-    world.post = [&, i](const NodeId&, const json& body, Span,
+    world.send = [&, i](const NodeId&, const json& body, Duration,
                         const std::function<void(std::optional<json>)>& answer) {
       const auto document = json::parse(damaged(body.dump()), nullptr, false);
       auto told = std::make_shared<bool>(false);
@@ -426,7 +431,8 @@
         try {
           if (document.is_discarded()) throw std::runtime_error("no JSON");
           ++heard;
-          sides.at(1 - i).roster->serve(document, [tell](const std::string& said) { tell(said); });
+          sides.at(1 - i).roster->handlePull(document,
+                                             [tell](const std::string& said) { tell(said); });
         } catch (const std::exception&) {
           ++refused;
           tell(std::nullopt);
@@ -434,28 +440,29 @@
       });
       clock.after(3000, [tell] { tell(std::nullopt); });
     };
-    side.roster = std::make_unique<hut::Roster>(hut::Roster::Parts{
+    side.roster = std::make_unique<gossip::GossipService>(gossip::GossipService::Dependencies{
         std::move(world), ids[i], ZoneName("z"),
         [&ids]() -> const std::vector<NodeId>& { return ids; }, *side.book,
-        [&side]() -> const cairn::Value& { return side.value; },
+        [&side]() -> const consensus::RegisterValue& { return side.value; },
         [&side](std::uint64_t has) -> const std::string& {
-          return side.text = toJson(side.value, cairn::Reader{has, 0, false}).dump();
+          return side.text = toJson(side.value, consensus::ReceiverState{has, 0, false}).dump();
         },
-        [](const json& j) { return cairn::valueFrom(j); }, [](const cairn::Value&) {},
-        side.evidence, [&side, &clock] { return side.evidence.own(clock.now()); }, [] {}, i == 0,
-        true, Span(0), std::chrono::milliseconds(30), Span(0)});
+        [](const json& j) { return consensus::valueFromJson(j); },
+        [](const consensus::RegisterValue&) {}, side.evidence,
+        [&side, &clock] { return side.evidence.ownAsOf(clock.now()); }, [] {}, i == 0, true,
+        Duration(0), std::chrono::milliseconds(30), Duration(0)});
   }
   for (int turn = 0; turn < 200; ++turn) {
     for (auto& side : sides) {
-      cairn::Server server;
+      membership::Instance server;
       server.id = InstanceId("i" + std::to_string(turn / 10));
       server.service = ServiceName("echo");
       server.address = "10.0.0.9:80";
       server.sequence = static_cast<std::uint64_t>(turn);
-      side.book->beat(server, clock.now());
-      side.book->expire(clock.now(), std::chrono::seconds(4), std::chrono::seconds(60));
-      side.book->settle(clock.now());
-      side.roster->news();
+      side.book->handleHeartbeat(server, clock.now());
+      side.book->expireInstances(clock.now(), std::chrono::seconds(4), std::chrono::seconds(60));
+      side.book->releaseThrottledUpdates(clock.now());
+      side.roster->notifyUpdate();
       side.roster->tick();
     }
     clock.runUntil(clock.ms() + 50);
@@ -465,31 +472,32 @@
 // The register's messages, through the parsers and the state machine behind them.
 void registers(std::uint64_t seed, std::size_t& heard, std::size_t& refused) {
   Random random(seed);
-  cairn::Shelf shelf;
-  cairn::Value value;
+  config::ConfigTextCache textCache;
+  consensus::RegisterValue value;
   value.sequence = 3;
   value.epoch = 1;
-  value.stamp = "10.0.0.1/4";
-  value.config = cairn::Signboard::of(filled(R"({"revision":1},)", 9000));
+  value.uniqueId = "10.0.0.1/4";
+  value.config = config::ConfigText::create(filled(R"({"revision":1},)", 9000));
   value.configRevision = Revision{1};
-  value.history = cairn::History(Revision{0}).with({Revision{1}, 77});
+  value.history = config::ChangeHistory(Revision{0}).extendedBy({Revision{1}, 77});
   value.voters = {NodeId("10.0.0.1"), NodeId("10.0.0.2"), NodeId("10.0.0.3")};
-  shelf.put(cairn::Signboard::of(filled(R"({"revision":1},)", 8000)));
-  cairn::Ledge ledge(NodeId("10.0.0.1"), Life{1}, true);
-  for (const auto kind : {cairn::Ask::Kind::prepare, cairn::Ask::Kind::accept,
-                          cairn::Ask::Kind::rejoin, cairn::Ask::Kind::fetch}) {
-    cairn::Ask ask;
+  textCache.add(config::ConfigText::create(filled(R"({"revision":1},)", 8000)));
+  consensus::Acceptor acceptor(NodeId("10.0.0.1"), Incarnation{1}, true);
+  for (const auto kind :
+       {consensus::RegisterRequest::Kind::prepare, consensus::RegisterRequest::Kind::accept,
+        consensus::RegisterRequest::Kind::rejoin, consensus::RegisterRequest::Kind::fetch}) {
+    consensus::RegisterRequest ask;
     ask.kind = kind;
-    ask.from = NodeId("10.0.0.2");
+    ask.sender = NodeId("10.0.0.2");
     ask.ballot = {5, NodeId("10.0.0.2")};
     ask.value = value;
-    ask.text = shelf.find(0) ? 0 : 7;
-    cairn::Reply reply;
-    reply.ok = true;
-    reply.promised = reply.accepted = ask.ballot;
+    ask.textId = textCache.find(0) ? 0 : 7;
+    consensus::RegisterReply reply;
+    reply.granted = true;
+    reply.promisedBallot = reply.acceptedBallot = ask.ballot;
     reply.value = value;
     for (const auto& text :
-         {toJson(ask, &shelf).dump(), toJson(reply).dump(), toJson(value).dump()}) {
+         {toJson(ask, &textCache).dump(), toJson(reply).dump(), toJson(value).dump()}) {
       const auto document = json::parse(spoiledJson(text, random), nullptr, false);
       if (document.is_discarded()) continue;
       ++heard;
@@ -500,12 +508,16 @@
           ++refused;
         }
       };
-      tried([&] { (void)ledge.ask(cairn::askFrom(document, &shelf)); });
+      tried([&] { (void)acceptor.handle(consensus::requestFromJson(document, &textCache)); });
       tried([&] {
-        (void)toJson(cairn::replyFrom(document, &shelf), cairn::Reader{}, &shelf, true).dump();
+        (void)toJson(consensus::replyFromJson(document, &textCache), consensus::ReceiverState{},
+                     &textCache, true)
+            .dump();
       });
       tried([&] {
-        (void)toJson(cairn::valueFrom(document, &shelf), cairn::Reader{}, &shelf).dump();
+        (void)toJson(consensus::valueFromJson(document, &textCache), consensus::ReceiverState{},
+                     &textCache)
+            .dump();
       });
     }
   }
@@ -531,18 +543,18 @@
     registers(seed, heard, refused);
   }
   // A few kilobytes that stand for more than any configuration.
-  const auto bomb = cairn::Signboard::of(std::string(70U << 20, 'x'));
-  if (cairn::Signboard::unpack(bomb->packed(), bomb->id())) ++wrong;
+  const auto bomb = config::ConfigText::create(std::string(70U << 20, 'x'));
+  if (config::ConfigText::fromPacked(bomb->packed(), bomb->id())) ++wrong;
   std::cout << "messages of nodes: " << heard << " read, " << refused << " refused\n";
   return wrong == 0 && refused > 0 && refused < heard * 3 ? 0 : 1;
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  const int code = merlin::test::run(argc > 1 ? std::stoull(argv[1]) : 100);
+  const int code = merlingauge::test::run(argc > 1 ? std::stoull(argv[1]) : 100);
   std::cout.flush();
   std::_Exit(code);
 }
--- a/tests/stage.hpp
+++ b/tests/loopback/loopback_peers.hpp
@@ -23,11 +23,11 @@
 #include <utility>
 #include <vector>
 
-#include "process/bell.hpp"
+#include "event/event_loop.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
-using hut::Bell;
+using event::EventLoop;
 using Poco::Net::PollSet;
 using Poco::Net::SocketAddress;
 
@@ -40,17 +40,17 @@
   std::function<void(End)> onEnd;
   std::string in;
 
-  static Ptr take(Bell& bell, const Poco::Net::StreamSocket& socket) {
-    Ptr plug(new Plug(bell, socket));
+  static Ptr take(EventLoop& loop, const Poco::Net::StreamSocket& socket) {
+    Ptr plug(new Plug(loop, socket));
     plug->socket_.setBlocking(false);
     plug->socket_.setNoDelay(true);
     plug->watch();
     return plug;
   }
   // Null where nobody listens. The kernel answers for whoever listens, so this doesn't wait.
-  static Ptr dial(Bell& bell, const SocketAddress& to) {
+  static Ptr dial(EventLoop& loop, const SocketAddress& to) {
     try {
-      return take(bell, Poco::Net::StreamSocket(to));
+      return take(loop, Poco::Net::StreamSocket(to));
     } catch (const Poco::Exception&) {
       return nullptr;
     }
@@ -96,7 +96,7 @@
   [[nodiscard]] bool gone() const { return gone_; }
 
  private:
-  Plug(Bell& bell, const Poco::Net::StreamSocket& socket) : bell_(bell), socket_(socket) {}
+  Plug(EventLoop& loop, const Poco::Net::StreamSocket& socket) : bell_(loop), socket_(socket) {}
   void watch() {
     bell_.watch(socket_, mode(), [weak = weak_from_this()](int) {
       if (const auto self = weak.lock()) self->ready();
@@ -148,7 +148,7 @@
     }
   }
 
-  Bell& bell_;
+  EventLoop& bell_;
   Poco::Net::StreamSocket socket_;
   std::string out_;
   bool frozen_ = false;
@@ -161,8 +161,8 @@
 // A listening address.
 class Ear {
  public:
-  Ear(Bell& bell, SocketAddress at, std::function<void(const Plug::Ptr&)> arrived)
-      : bell_(bell), at_(std::move(at)), arrived_(std::move(arrived)) {
+  Ear(EventLoop& loop, SocketAddress at, std::function<void(const Plug::Ptr&)> arrived)
+      : bell_(loop), at_(std::move(at)), arrived_(std::move(arrived)) {
     open();
   }
   ~Ear() { close(); }
@@ -200,7 +200,7 @@
   }
 
  private:
-  Bell& bell_;
+  EventLoop& bell_;
   SocketAddress at_;
   std::function<void(const Plug::Ptr&)> arrived_;
   Poco::Net::ServerSocket socket_;
@@ -296,11 +296,11 @@
 // An honest server of the users'.
 class StandIn {
  public:
-  StandIn(Bell& bell, const SocketAddress& at, std::string id, int number, Ledger& ledger)
+  StandIn(EventLoop& loop, const SocketAddress& at, std::string id, int number, Ledger& ledger)
       : id_(std::move(id)),
         number_(number),
         ledger_(ledger),
-        ear_(bell, at, [this](const Plug::Ptr& plug) { arrived(plug); }) {}
+        ear_(loop, at, [this](const Plug::Ptr& plug) { arrived(plug); }) {}
   // What it answers in place of the honest answer.
   std::function<std::string(const std::string& id, const std::string& honest)> twist;
   void close() {
@@ -404,16 +404,16 @@
 class Link {
  public:
   // Relays `at` to `to`; what takes the address over stands at `other`.
-  Link(Bell& bell, const SocketAddress& at, SocketAddress to, SocketAddress other, int number,
+  Link(EventLoop& loop, const SocketAddress& at, SocketAddress to, SocketAddress other, int number,
        bool pipelines, Ledger& ledger, Trap& trap)
-      : bell_(bell),
+      : bell_(loop),
         to_(std::move(to)),
         other_(std::move(other)),
         number_(number),
         pipelines_(pipelines),
         ledger_(ledger),
         trap_(trap),
-        ear_(bell, at, [this](const Plug::Ptr& near) { arrived(near); }) {}
+        ear_(loop, at, [this](const Plug::Ptr& near) { arrived(near); }) {}
   ~Link() { close(); }
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
@@ -666,7 +666,7 @@
     }
   }
 
-  Bell& bell_;
+  EventLoop& bell_;
   SocketAddress to_;
   SocketAddress other_;
   int number_;
@@ -683,8 +683,8 @@
 class Caller {
  public:
   std::function<void()> onIdle;  // everything is answered, or the connection has ended
-  Caller(Bell& bell, const SocketAddress& to, Ledger& ledger)
-      : ledger_(ledger), plug_(Plug::dial(bell, to)) {
+  Caller(EventLoop& loop, const SocketAddress& to, Ledger& ledger)
+      : ledger_(ledger), plug_(Plug::dial(loop, to)) {
     if (!plug_) return;
     plug_->onData = [this] { read(); };
     plug_->onEnd = [this](Plug::End) { end(); };
@@ -763,4 +763,4 @@
   std::deque<std::pair<std::string, bool>> waits_;  // id, a long answer
 };
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/mesh.cpp
+++ b/tests/loopback/mesh_test.cpp
@@ -5,7 +5,7 @@
 
 #include "hosts.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 // Nodes that stand still and go on again, with requests in their sockets.
@@ -218,6 +218,8 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
-int main(int argc, char** argv) { return merlin::test::runPlay(argc, argv, merlin::test::play); }
+int main(int argc, char** argv) {
+  return merlingauge::test::runPlay(argc, argv, merlingauge::test::play);
+}
--- a/tests/hosts.hpp
+++ b/tests/loopback/node_processes.hpp
@@ -34,7 +34,7 @@
 #include <thread>
 #include <vector>
 
-namespace merlin::test {
+namespace merlingauge::test {
 
 using nlohmann::json;
 namespace net = Poco::Net;
@@ -321,4 +321,4 @@
   return 1;
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/house.hpp
+++ b/tests/loopback/proxy_path.hpp
@@ -4,12 +4,12 @@
 
 #include <unistd.h>
 
-#include "request/egress.hpp"
-#include "request/ingress.hpp"
+#include "config/route_table.hpp"
+#include "proxy/egress.hpp"
+#include "proxy/ingress.hpp"
 #include "stage.hpp"
-#include "version/chart.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
 constexpr std::uint16_t kWayIn = 21901;
 constexpr std::uint16_t kWayInBehind = 21902;  // where the real one stands behind a link
@@ -46,7 +46,7 @@
           port};
 }
 
-inline cairn::Chart::Ptr chart() {
+inline config::RouteTable::Ptr chart() {
   static const auto made = [] {
     const auto rule = [](const char* name, const char* prefix, const char* type) {
       return nlohmann::json{{"name", name},
@@ -57,12 +57,12 @@
                             {"max_attempts", 2},
                             {"target_service", "echo"}};
     };
-    return cairn::Chart::read(
+    return config::RouteTable::parse(
                {{"revision", 1},
                 {"route_rules",
                  {rule("once", "/once/", "non_idempotent"), rule("safe", "/safe/", "idempotent")}},
                 {"services", {{{"name", "echo"}}}}})
-        .chart;
+        .table;
   }();
   return made;
 }
@@ -72,35 +72,35 @@
   // Called where a link is wanted: it relays `at` to `to`; `other` is who may take `at` over.
   using Linker = std::function<void(const SocketAddress& at, const SocketAddress& to,
                                     const SocketAddress& other, int server)>;
-  House(Bell& bell, std::size_t number, bool gateway, std::optional<Where> linked, Linker link,
+  House(EventLoop& loop, std::size_t number, bool gateway, std::optional<Where> linked, Linker link,
         Ledger& ledger)
-      : bell_(bell),
+      : bell_(loop),
         number_(number),
         linked_(linked),
         link_(std::move(link)),
         ledger_(ledger),
-        book_(facts("n"), Life{1}),
-        ropes_(bell, gateway ? saddle::Ropes::Config{std::chrono::milliseconds(300),
-                                                     std::chrono::seconds(9), 8, 700}
-                             : saddle::Ropes::Config{std::chrono::milliseconds(300),
-                                                     std::chrono::seconds(20), 64, 0}),
+        book_(facts("n"), Incarnation{1}),
+        ropes_(loop, gateway ? http::ConnectionPool::Options{std::chrono::milliseconds(300),
+                                                             std::chrono::seconds(9), 8, 700}
+                             : http::ConnectionPool::Options{std::chrono::milliseconds(300),
+                                                             std::chrono::seconds(20), 64, 0}),
         way_(at(0, kWayIn)) {
-    std::unique_ptr<trail::Approach> approach;
+    std::unique_ptr<proxy::UpstreamTransport> transport;
     if (gateway) {
-      approach = std::make_unique<trail::Direct>();
+      transport = std::make_unique<proxy::DirectTransport>();
     } else {
-      approach = std::make_unique<trail::ThroughIngress>(kIngressAt);
+      transport = std::make_unique<proxy::MeshTransport>(kIngressAt);
     }
-    egress_ = std::make_unique<trail::Egress>(trail::Egress::Parts{
-        bell, ropes_, book_, [] { return chart(); }, [] { return true; }, std::move(approach),
+    egress_ = std::make_unique<proxy::Egress>(proxy::Egress::Dependencies{
+        loop, ropes_, book_, [] { return chart(); }, [] { return true; }, std::move(transport),
         ServiceName("front"), NodeId("n"), ZoneName("z"), gateway,
-        trail::TollTerms{0.2, 60, std::chrono::seconds(10)}, number + 1});
-    egress_->setFleet({{NodeId("n"), ZoneName("z")}}, 1);
+        proxy::RetryBudgetOptions{0.2, 60, std::chrono::seconds(10)}, number + 1});
+    egress_->setProxyNodes({{NodeId("n"), ZoneName("z")}}, 1);
     for (int i = 0; i < 2; ++i) addServer(i, gateway);
     const bool here = linked_ == Where::client;
-    door_ = std::make_unique<saddle::Door>(bell, here ? at(0, kWayInBehind) : way_, 64);
-    door_->reception->onVisit = [this](const auto& visit) { egress_->visit(visit); };
-    door_->reception->mayRunAhead = [this](const auto& v) { return egress_->mayRunAhead(v); };
+    door_ = std::make_unique<http::HttpListener>(loop, here ? at(0, kWayInBehind) : way_, 64);
+    door_->context->onExchange = [this](const auto& exchange) { egress_->handle(exchange); };
+    door_->context->mayPipeline = [this](const auto& v) { return egress_->mayPipeline(v); };
     if (here) link_(way_, at(0, kWayInBehind), at(0, kWayInBehind), 0);
   }
   [[nodiscard]] const SocketAddress& way() const { return way_; }
@@ -109,8 +109,8 @@
   }
   // How often a request was passed on to a server.
   [[nodiscard]] std::size_t passedOn() const {
-    if (!sites_[0].ingress) return egress_->counts().hops;
-    return sites_[0].ingress->counts().admitted + sites_[1].ingress->counts().admitted;
+    if (!sites_[0].ingress) return egress_->stats().attempts;
+    return sites_[0].ingress->stats().admitted + sites_[1].ingress->stats().admitted;
   }
   [[nodiscard]] const auto& standIns() const { return standIns_; }
   // Whatever is open ends; the objects stay, for the loop may still know of them.
@@ -122,26 +122,26 @@
 
  private:
   struct Site {
-    std::unique_ptr<saddle::Ropes> ropes;
-    std::unique_ptr<cairn::Guestbook> book;
-    std::unique_ptr<trail::Ingress> ingress;
-    std::unique_ptr<saddle::Door> door;
+    std::unique_ptr<http::ConnectionPool> ropes;
+    std::unique_ptr<membership::InstanceRegistry> book;
+    std::unique_ptr<proxy::Ingress> ingress;
+    std::unique_ptr<http::HttpListener> door;
   };
-  static cairn::NodeFacts facts(const char* id) {
-    return {NodeId(id), ZoneName("z"), false, false, false, 0, Life{}};
+  static membership::NodeInfo facts(const char* id) {
+    return {NodeId(id), ZoneName("z"), false, false, false, 0, Incarnation{}};
   }
   void stand(int i, std::uint16_t port, const std::string& id) {
     standIns_.push_back(std::make_unique<StandIn>(bell_, at(i, port), id, i, ledger_));
   }
   void addServer(int i, bool gateway) {
-    cairn::Server server;
+    membership::Instance server;
     server.id = InstanceId("i" + std::to_string(i));
     server.service = ServiceName("echo");
     server.address = at(i, kAppAt).toString();
     server.zone = ZoneName("z");
-    server.slots = 64;
+    server.capacity = 64;
     server.sequence = 1;
-    book_.beat(server, bell_.now());
+    book_.handleHeartbeat(server, bell_.now());
     const bool here = linked_ == Where::server;
     stand(i, here ? kAppBehind : kAppAt, server.id.str());
     if (here) {
@@ -150,37 +150,37 @@
     }
     if (gateway) return;
     auto& site = sites_.at(static_cast<std::size_t>(i));
-    site.ropes = std::make_unique<saddle::Ropes>(
-        bell_,
-        saddle::Ropes::Config{std::chrono::milliseconds(400), std::chrono::seconds(20), 64, 0});
-    site.book = std::make_unique<cairn::Guestbook>(facts("s"), Life{1});
-    site.book->beat(server, bell_.now());
-    site.ingress = std::make_unique<trail::Ingress>(trail::Ingress::Parts{
+    site.ropes = std::make_unique<http::ConnectionPool>(
+        bell_, http::ConnectionPool::Options{std::chrono::milliseconds(400),
+                                             std::chrono::seconds(20), 64, 0});
+    site.book = std::make_unique<membership::InstanceRegistry>(facts("s"), Incarnation{1});
+    site.book->handleHeartbeat(server, bell_.now());
+    site.ingress = std::make_unique<proxy::Ingress>(proxy::Ingress::Dependencies{
         bell_, *site.ropes, server.address,
-        [book = site.book.get()](const InstanceId& id) { return book->heardHere(id); },
+        [book = site.book.get()](const InstanceId& id) { return book->findReportedHere(id); },
         std::chrono::seconds(1), [](const InstanceId&) {}, [](const InstanceId&, int) {}});
-    site.ingress->heard(server, bell_.now());
+    site.ingress->onInstanceUpdate(server, bell_.now());
     const bool before = linked_ == Where::ingress;
-    site.door =
-        std::make_unique<saddle::Door>(bell_, at(i, before ? kIngressBehind : kIngressAt), 64);
-    site.door->reception->onVisit = [in = site.ingress.get()](const auto& v) { in->visit(v); };
-    site.door->reception->limits.headBytes = 128 * 1024;
+    site.door = std::make_unique<http::HttpListener>(
+        bell_, at(i, before ? kIngressBehind : kIngressAt), 64);
+    site.door->context->onExchange = [in = site.ingress.get()](const auto& v) { in->handle(v); };
+    site.door->context->limits.maxHeadBytes = 128 * 1024;
     // Who takes the address over is the node beside the other server.
     if (before) link_(at(i, kIngressAt), at(i, kIngressBehind), at(1 - i, kIngressBehind), i);
   }
 
-  Bell& bell_;
+  EventLoop& bell_;
   std::size_t number_;
   std::optional<Where> linked_;
   Linker link_;
   Ledger& ledger_;
-  cairn::Guestbook book_;
-  saddle::Ropes ropes_;
-  std::unique_ptr<trail::Egress> egress_;
+  membership::InstanceRegistry book_;
+  http::ConnectionPool ropes_;
+  std::unique_ptr<proxy::Egress> egress_;
   std::array<Site, 2> sites_;
-  std::unique_ptr<saddle::Door> door_;
+  std::unique_ptr<http::HttpListener> door_;
   std::vector<std::unique_ptr<StandIn>> standIns_;
   SocketAddress way_;
 };
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/quorum.cpp
+++ b/tests/loopback/quorum_loss_test.cpp
@@ -4,7 +4,7 @@
 
 #include "hosts.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 // A connection that a node has taken and answered on: what is sent later lies there to be read.
@@ -97,6 +97,8 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
-int main(int argc, char** argv) { return merlin::test::runPlay(argc, argv, merlin::test::play); }
+int main(int argc, char** argv) {
+  return merlingauge::test::runPlay(argc, argv, merlingauge::test::play);
+}
--- a/tests/scale.cpp
+++ b/tests/loopback/scale_run.cpp
@@ -13,7 +13,7 @@
 #include "hollow.hpp"
 #include "hosts.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 constexpr int kMostProcesses = 200;
@@ -114,12 +114,12 @@
 std::string serviceName(int i) { return i == 0 ? "echo" : "svc" + std::to_string(i); }
 std::string zoneName(int i, const Sizes& sizes) { return "z" + std::to_string(i % sizes.zones); }
 
-std::int64_t nowUs() { return hut::Bell::clock().time_since_epoch().count(); }
+std::int64_t nowUs() { return event::EventLoop::readClock().time_since_epoch().count(); }
 
 // ---- a process full of hollow nodes: `restart N` and `tell` on its input, a line for each `tell`
 
 int hollowMain(int first, int count, const Sizes& sizes) {
-  hut::Bell bell;
+  event::EventLoop loop;
   std::map<std::int64_t, std::int64_t> learned;  // when the last of them learned a revision
   std::vector<std::unique_ptr<Hollow>> nodes;
   for (int i = first; i < first + count; ++i) {
@@ -130,16 +130,16 @@
     for (int c = 0; c < std::min(3, sizes.cores); ++c) terms.seeds.emplace_back(coreIp(c));
     terms.port = kInner;
     terms.learned = [&learned](std::int64_t revision) { learned[revision] = nowUs(); };
-    nodes.push_back(std::make_unique<Hollow>(bell, std::move(terms)));
+    nodes.push_back(std::make_unique<Hollow>(loop, std::move(terms)));
   }
   std::vector<std::function<void()>> ticks(nodes.size());
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     ticks[i] = [&, i] {
       nodes[i]->tick();
-      bell.after(std::chrono::milliseconds(100), ticks[i]);
+      loop.after(std::chrono::milliseconds(100), ticks[i]);
     };
     // They come one after the other, as machines do.
-    bell.after(std::chrono::milliseconds(5 * i), ticks[i]);
+    loop.after(std::chrono::milliseconds(5 * i), ticks[i]);
   }
   const auto tell = [&] {
     std::size_t fewest = SIZE_MAX;
@@ -167,7 +167,7 @@
   ::fcntl(0, F_SETFL, ::fcntl(0, F_GETFL) | O_NONBLOCK);
   Poco::Net::StreamSocket input(new Poco::Net::StreamSocketImpl(0));
   std::string text;
-  bell.watch(input, Poco::Net::PollSet::POLL_READ, [&](int) {
+  loop.watch(input, Poco::Net::PollSet::POLL_READ, [&](int) {
     char chunk[256];
     ssize_t n = 0;
     while ((n = ::read(0, chunk, sizeof chunk)) > 0)
@@ -183,7 +183,7 @@
       if (what == "restart") nodes[which % nodes.size()]->restart();
     }
   });
-  bell.run();
+  loop.run();
   return 0;
 }
 
@@ -626,6 +626,6 @@
   return 1;
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
-int main(int argc, char** argv) { return merlin::test::scaleMain(argc, argv); }
+int main(int argc, char** argv) { return merlingauge::test::scaleMain(argc, argv); }
--- a/tests/ending.cpp
+++ b/tests/loopback/shutdown_test.cpp
@@ -7,7 +7,7 @@
 
 #include "hosts.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 // Answers in two halves, as long apart as the path says: /once/1000/big.
@@ -280,6 +280,8 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
-int main(int argc, char** argv) { return merlin::test::runPlay(argc, argv, merlin::test::play); }
+int main(int argc, char** argv) {
+  return merlingauge::test::runPlay(argc, argv, merlingauge::test::play);
+}
--- a/tests/voters.cpp
+++ b/tests/loopback/voter_replacement_test.cpp
@@ -5,7 +5,7 @@
 
 #include "hosts.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 namespace {
 
 using Watch = std::chrono::steady_clock;
@@ -89,6 +89,8 @@
 }
 
 }  // namespace
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
-int main(int argc, char** argv) { return merlin::test::runPlay(argc, argv, merlin::test::play); }
+int main(int argc, char** argv) {
+  return merlingauge::test::runPlay(argc, argv, merlingauge::test::play);
+}
--- a/tests/world_text.cpp
+++ b/tests/simulation/document_world.cpp
@@ -2,14 +2,14 @@
 #include <algorithm>
 #include <set>
 
-#include "connection/framing.hpp"
-#include "errors.hpp"
-#include "process/settings.hpp"
-#include "request/approach.hpp"
+#include "base/errors.hpp"
+#include "config/route_table.hpp"
+#include "http/message_framing.hpp"
+#include "node/settings.hpp"
+#include "proxy/upstream_transport.hpp"
 #include "runner.hpp"
-#include "version/chart.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
 namespace {
 
@@ -29,51 +29,51 @@
 // How a connection takes these bytes: whole, incomplete, 400, 413, 431.
 std::string requestVerdict(const std::string& bytes, std::size_t headLimit, std::size_t bodyLimit) {
   std::size_t size = 0;
-  switch (saddle::findHead(bytes, headLimit, size)) {
-    case saddle::HeadState::incomplete:
+  switch (http::findHead(bytes, headLimit, size)) {
+    case http::HeadParseResult::incomplete:
       return "incomplete";
-    case saddle::HeadState::tooLarge:
-      return std::to_string(answerFor(ErrorKind::headTooLarge).status);
-    case saddle::HeadState::bad:
-      return std::to_string(answerFor(ErrorKind::badFraming).status);
-    case saddle::HeadState::complete:
+    case http::HeadParseResult::tooLarge:
+      return std::to_string(responseFor(ErrorKind::headersTooLarge).status);
+    case http::HeadParseResult::malformed:
+      return std::to_string(responseFor(ErrorKind::malformedRequest).status);
+    case http::HeadParseResult::complete:
       break;
   }
-  const std::string bad = std::to_string(answerFor(ErrorKind::badFraming).status);
+  const std::string bad = std::to_string(responseFor(ErrorKind::malformedRequest).status);
   Poco::Net::HTTPRequest request;
   const auto head = bytes.substr(0, size);
   const auto plan =
-      saddle::strictHead(head, true) ? saddle::readRequestHead(head, request) : std::nullopt;
+      http::isStrictHead(head, true) ? http::parseRequestHead(head, request) : std::nullopt;
   if (!plan) return bad;
-  if (plan->kind == saddle::BodyKind::length && plan->length > bodyLimit) {
-    return std::to_string(answerFor(ErrorKind::bodyTooLarge).status);
+  if (plan->kind == http::FramingKind::contentLength && plan->length > bodyLimit) {
+    return std::to_string(responseFor(ErrorKind::bodyTooLarge).status);
   }
-  saddle::BodyReader reader(*plan);
+  http::BodyReader reader(*plan);
   std::string rest = bytes.substr(size);
   std::string body;
   std::string pending;
   // Byte by byte: where the cuts fall must not matter.
   for (const char c : rest) {
-    if (reader.state() == saddle::BodyReader::State::done) return "whole+";
+    if (reader.state() == http::BodyReader::State::done) return "whole+";
     pending += c;
-    reader.feed(pending, body);
+    reader.consume(pending, body);
   }
-  if (reader.state() == saddle::BodyReader::State::bad) return bad;
-  return reader.state() == saddle::BodyReader::State::done ? "whole" : "incomplete";
+  if (reader.state() == http::BodyReader::State::malformed) return bad;
+  return reader.state() == http::BodyReader::State::done ? "whole" : "incomplete";
 }
 
 std::string answerVerdict(const std::vector<std::string>& w) {
-  const trail::Direct direct;
-  const trail::ThroughIngress ingress(1);
-  const trail::Approach& approach =
-      w[1] == "direct" ? static_cast<const trail::Approach&>(direct) : ingress;
+  const proxy::DirectTransport direct;
+  const proxy::MeshTransport ingress(1);
+  const proxy::UpstreamTransport& transport =
+      w[1] == "direct" ? static_cast<const proxy::UpstreamTransport&>(direct) : ingress;
   Poco::Net::HTTPResponse response;
   response.setStatus(w[3]);
   for (std::size_t i = 4; i < w.size(); ++i) {
     const auto at = w[i].find('=');
     response.set(w[i].substr(0, at), w[i].substr(at + 1));
   }
-  const auto refused = approach.read(response).refused;
+  const auto refused = transport.readResponse(response).rejection;
   if (!refused) return "passed";
   static const char* const kNames[] = {"full", "notThere", "unreachable", "turnedAway", "maybeRun"};
   return kNames[static_cast<int>(*refused)];
@@ -109,8 +109,8 @@
       auto document = nlohmann::json::parse(block);
       const auto patch = rest(2);
       if (!patch.empty()) document.merge_patch(nlohmann::json::parse(patch));
-      const auto problem = w[0] == "config" ? cairn::Chart::read(document).problem
-                                            : hut::parseSettings(document.dump()).problem;
+      const auto problem = w[0] == "config" ? config::RouteTable::parse(document).error
+                                            : node::parseSettings(document.dump()).error;
       if (w[1] == "ok") {
         require(problem.empty(), told + ": " + problem);
       } else {
@@ -118,31 +118,31 @@
       }
       ++checks;
     } else if (w[0] == "route") {  // route HOST PATH NAME|none, in the block's configuration
-      const auto read = cairn::Chart::read(nlohmann::json::parse(block));
-      require(read.chart != nullptr, told + ": " + read.problem);
-      const auto* route = read.chart->match(w[1], w[2]);
+      const auto read = config::RouteTable::parse(nlohmann::json::parse(block));
+      require(read.table != nullptr, told + ": " + read.error);
+      const auto* route = read.table->findRoute(w[1], w[2]);
       const std::string got = route == nullptr ? "none" : route->name;
       require(got == w[3], told + ": got " + got);
       ++checks;
     } else if (w[0] == "update") {  // update JSON: makes a new block of the block
-      auto made = cairn::applyUpdate(nlohmann::json::parse(block), nlohmann::json::parse(rest(1)));
-      require(made.problem.empty(), told + ": " + made.problem);
+      auto made = config::applyUpdate(nlohmann::json::parse(block), nlohmann::json::parse(rest(1)));
+      require(made.error.empty(), told + ": " + made.error);
       block = made.config.dump();
     } else if (w[0] == "split") {  // split HOST PATH DRAW SERVICE
-      const auto read = cairn::Chart::read(nlohmann::json::parse(block));
-      const auto got = read.chart->match(w[1], w[2])->pickService(std::stod(w[3])).str();
+      const auto read = config::RouteTable::parse(nlohmann::json::parse(block));
+      const auto got = read.table->findRoute(w[1], w[2])->pickService(std::stod(w[3])).str();
       require(got == w[4], told + ": got " + got);
       ++checks;
     } else if (w[0] == "promises") {  // no row of the table may promise what it can't
       // What only an operator reads and can't be told: an order that may be taken or not.
-      const std::set<ErrorKind> unclear = {ErrorKind::noMajority, ErrorKind::orderForgotten,
-                                           ErrorKind::baseAhead};
+      const std::set<ErrorKind> unclear = {ErrorKind::noQuorum, ErrorKind::changeHistoryTruncated,
+                                           ErrorKind::baseNotYetCommitted};
       for (int k = 0; k < static_cast<int>(ErrorKind::count_); ++k) {
-        const auto& row = answerFor(static_cast<ErrorKind>(k));
+        const auto& row = responseFor(static_cast<ErrorKind>(k));
         const bool promising =
             row.status == 429 || row.status == 408 || row.status == 421 || row.status == 503;
-        require(!promising || row.notRun != unclear.contains(static_cast<ErrorKind>(k)),
-                "a row promises too much or too little: " + std::string(row.text));
+        require(!promising || row.notExecuted != unclear.contains(static_cast<ErrorKind>(k)),
+                "a row promises too much or too little: " + std::string(row.message));
         require(row.status != 503 || row.retryAfterMs > 0, "a 503 without Retry-After");
       }
       ++checks;
@@ -151,4 +151,4 @@
   require(checks > 0, "a scenario without an expectation proves nothing");
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/world_range.cpp
+++ b/tests/simulation/endpoint_subset_world.cpp
@@ -5,20 +5,20 @@
 #include <memory>
 #include <set>
 
-#include "request/range.hpp"
+#include "proxy/endpoint_subset.hpp"
 #include "runner.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
-using cairn::Guestbook;
-using cairn::Server;
-using trail::Range;
+using membership::Instance;
+using membership::InstanceRegistry;
+using proxy::EndpointSubset;
 
 namespace {
 
 struct Edge {
-  trail::Loads loads;
-  std::unique_ptr<Range> range;
+  proxy::LoadTracker loads;
+  std::unique_ptr<EndpointSubset> range;
   ZoneName zone;
   NodeId id;
 };
@@ -30,7 +30,8 @@
         clock_(seed),
         zones_(static_cast<int>(number(s_, "zones", 3))),
         most_(static_cast<int>(number(s_, "max_connections", 60))),
-        book_({NodeId("c"), ZoneName("z0"), true, false, false, 0, Life{}}, Life{1}) {}
+        book_({NodeId("c"), ZoneName("z0"), true, false, false, 0, Incarnation{}}, Incarnation{1}) {
+  }
 
   void play(std::map<std::string, double>& out) {
     const int servers = static_cast<int>(number(s_, "servers", 140));
@@ -60,14 +61,14 @@
 
  private:
   void addServer(int i) {
-    Server server;
+    Instance server;
     server.id = InstanceId("i" + std::to_string(clock_.random()));
     server.service = service_;
     server.address = "10.0.0." + std::to_string(i % 250 + 1) + ":80";
     server.zone = ZoneName("z" + std::to_string(i % zones_));
-    server.slots = 4;
+    server.capacity = 4;
     server.sequence = 1;
-    book_.beat(server, clock_.now());
+    book_.handleHeartbeat(server, clock_.now());
     servers_.push_back(server.id);
   }
 
@@ -75,20 +76,20 @@
     auto edge = std::make_unique<Edge>();
     edge->zone = ZoneName("z" + std::to_string(i % zones_));
     edge->id = NodeId("e" + std::to_string(clock_.random()));
-    edge->range =
-        std::make_unique<Range>(Range::Parts{book_, direct_, edge->loads, edge->id, edge->zone,
-                                             true, [this](const ServiceName&) { return most_; }},
-                                clock_.random());
+    edge->range = std::make_unique<EndpointSubset>(
+        EndpointSubset::Dependencies{book_, direct_, edge->loads, edge->id, edge->zone, true,
+                                     [this](const ServiceName&) { return most_; }},
+        clock_.random());
     edges_.push_back(std::move(edge));
   }
 
   void fleet() {
-    std::vector<trail::Drawer> all;
+    std::vector<proxy::ProxyNode> all;
     for (const auto& edge : edges_) all.push_back({edge->id, edge->zone});
-    for (const auto& edge : edges_) edge->range->fleet(all);
+    for (const auto& edge : edges_) edge->range->setNodes(all);
   }
 
-  const std::vector<trail::Candidate>& list(Edge& edge) {
+  const std::vector<proxy::Candidate>& list(Edge& edge) {
     return edge.range->candidates(service_, false, clock_.now());
   }
 
@@ -107,16 +108,16 @@
     double least = 1e9;
     for (auto& edge : edges_) {
       const auto& open = list(*edge);
-      const int each = edge->range->view(clock_.now()).at(service_).connections;
+      const int each = edge->range->views(clock_.now()).at(service_).connections;
       require(each >= 1, "an edge may hold no connection");
       least = std::min(least, static_cast<double>(open.size()));
       for (const auto& candidate : open) {
         connections[*candidate.id] += each;
         holders[*candidate.id] += 1;
       }
-      const auto near = std::count_if(open.begin(), open.end(), [](auto& c) { return c.near; });
+      const auto near = std::count_if(open.begin(), open.end(), [](auto& c) { return c.sameZone; });
       for (const auto& candidate : open) {
-        if (candidate.near) load[*candidate.id] += 1.0 / static_cast<double>(near);
+        if (candidate.sameZone) load[*candidate.id] += 1.0 / static_cast<double>(near);
       }
     }
     double busiest = 0;
@@ -140,14 +141,14 @@
     auto& edge = *edges_[0];
     const auto all = list(edge).size();
     for (const auto& id : servers_) {
-      for (int i = 0; i < 5; ++i) edge.loads.answered(id, false, clock_.now());
+      for (int i = 0; i < 5; ++i) edge.loads.onResponse(id, false, clock_.now());
     }
     const auto left = list(edge).size();
     require(left * 3 + 3 >= all * 2 && left > 0, "too many servers are left alone");
     require(left < all || all < 3, "servers that fail are not left alone");
     out["left"] = static_cast<double>(left) / static_cast<double>(all);
     clock_.runUntil(clock_.ms() + 20000);
-    for (const auto& id : servers_) edge.loads.answered(id, true, clock_.now());
+    for (const auto& id : servers_) edge.loads.onResponse(id, true, clock_.now());
     require(list(edge).size() == all, "servers that are well again are not taken back");
   }
 
@@ -156,10 +157,10 @@
     addEdge(0);
     auto& edge = *edges_.back();
     edge.zone = ZoneName("elsewhere");
-    edge.range =
-        std::make_unique<Range>(Range::Parts{book_, direct_, edge.loads, edge.id, edge.zone, true,
-                                             [this](const ServiceName&) { return most_; }},
-                                clock_.random());
+    edge.range = std::make_unique<EndpointSubset>(
+        EndpointSubset::Dependencies{book_, direct_, edge.loads, edge.id, edge.zone, true,
+                                     [this](const ServiceName&) { return most_; }},
+        clock_.random());
     fleet();
     require(list(edge).size() >= 8, "an edge without servers in its zone draws from too few");
   }
@@ -170,14 +171,14 @@
     const auto id = *list(edge).front().id;
     const auto steady = [&] {
       for (const auto& candidate : list(edge)) {
-        if (*candidate.id == id) return candidate.steady;
+        if (*candidate.id == id) return candidate.peerLoad;
       }
       return -1.0;
     };
     const double before = steady();
-    edge.loads.began(id, clock_.now());
+    edge.loads.onRequestStarted(id, clock_.now());
     clock_.runUntil(clock_.ms() + 3000);
-    edge.loads.ended(id, clock_.now());
+    edge.loads.onRequestEnded(id, clock_.now());
     require(steady() > before + 1, "a server where requests stay is not taken for busier");
     clock_.runUntil(clock_.ms() + 30000);
     require(steady() < before + 0.1, "it is taken for busier for ever");
@@ -188,8 +189,8 @@
   int zones_;
   int most_;
   ServiceName service_{"svc"};
-  trail::Direct direct_;
-  Guestbook book_;
+  proxy::DirectTransport direct_;
+  InstanceRegistry book_;
   std::vector<InstanceId> servers_;
   std::vector<std::unique_ptr<Edge>> edges_;
 };
@@ -200,4 +201,4 @@
   RangeWorld(scenario, seed).play(out);
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/world_news.cpp
+++ b/tests/simulation/gossip_world.cpp
@@ -7,20 +7,20 @@
 #include <optional>
 #include <set>
 
-#include "process/roster.hpp"
+#include "gossip/gossip_service.hpp"
 #include "runner.hpp"
 
-namespace merlin::test {
-
-using cairn::Ask;
-using cairn::Climber;
-using cairn::Evidence;
-using cairn::Guestbook;
-using cairn::Ledge;
-using cairn::Reply;
-using cairn::Server;
-using cairn::Value;
-using hut::Roster;
+namespace merlingauge::test {
+
+using consensus::Acceptor;
+using consensus::Proposer;
+using consensus::RegisterReply;
+using consensus::RegisterRequest;
+using consensus::RegisterValue;
+using consensus::StalenessBound;
+using gossip::GossipService;
+using membership::Instance;
+using membership::InstanceRegistry;
 using nlohmann::json;
 
 namespace {
@@ -30,15 +30,15 @@
   ZoneName zone;
   bool core = false;
   int life = 0;  // odd: up
-  Value known;
+  RegisterValue known;
   std::string text;
   std::vector<NodeId> seeds;
-  std::unique_ptr<Guestbook> book;
-  std::unique_ptr<Roster> roster;
+  std::unique_ptr<InstanceRegistry> book;
+  std::unique_ptr<GossipService> roster;
   std::uint64_t lowest = 0;  // what it must not fall below within a life
-  Evidence evidence;
-  std::optional<Ledge> ledge;
-  std::optional<Ledge::Saved> disk;
+  StalenessBound evidence;
+  std::optional<Acceptor> ledge;
+  std::optional<Acceptor::PersistedState> disk;
   double aheadSince = -1;  // a value accepted, not known to be chosen
   bool reading = false;
   bool joins = false;  // comes in the middle, with seeds of its own
@@ -47,7 +47,7 @@
   double inQuorumSince = 0;  // a core: linked both ways to a majority
   double outSince = -1;      // a core: not so
   bool wasCurrent = false;
-  Instant busyUntil;  // with messages that came before
+  TimePoint busyUntil;  // with messages that came before
   [[nodiscard]] bool up() const { return roster != nullptr; }
 };
 
@@ -70,7 +70,7 @@
     for (std::size_t i = 0; i < voters; ++i) {
       auto& post = *posts_.at(i);
       voters_.push_back(post.id);
-      post.disk = Ledge(post.id, Life{clock_.random() >> 1}, true).save();
+      post.disk = Acceptor(post.id, Incarnation{clock_.random() >> 1}, true).persistedState();
     }
     for (const auto* line : linesOf(s_, "fault")) faults_.insert(line->words.at(1));
     for (const auto* line : linesOf(s_, "at")) {
@@ -98,7 +98,8 @@
     out["words"] = static_cast<double>(words_);
     out["far_kb"] = farBytes_ / 1024;
     out["burst_kb"] = burst_;
-    out["servers"] = static_cast<double>(posts_[0]->book->usable(ServiceName("svc")).size());
+    out["servers"] =
+        static_cast<double>(posts_[0]->book->usableInstances(ServiceName("svc")).size());
     out["known_ms"] = knownAt_ > 0 ? knownAt_ : length;
     out["near_kb"] = nearBytes_ / 1024;
     out["changes"] = static_cast<double>(chosenAt_.size());
@@ -115,7 +116,7 @@
     out["ballot"] = 0;
     for (const auto& post : posts_) {
       if (!post->ledge) continue;
-      out["ballot"] = std::max(out["ballot"], double(post->ledge->accepted().number));
+      out["ballot"] = std::max(out["ballot"], double(post->ledge->acceptedBallot().number));
     }
   }
 
@@ -129,73 +130,74 @@
 
   void start(Post& post) {
     ++post.life;
-    post.known = Value{};
+    post.known = RegisterValue{};
     post.lowest = 0;
-    post.evidence = Evidence();
+    post.evidence = StalenessBound();
     post.startedAt = clock_.ms();
     post.aheadSince = -1;
     post.reading = false;
     post.wasCurrent = false;
     if (post.disk) {
-      post.ledge = Ledge::restore(post.id, *post.disk);
+      post.ledge = Acceptor::restore(post.id, *post.disk);
       post.known.voters = voters_;
-      post.evidence.accepted(post.ledge->value().sequence, Evidence::kNever);
+      post.evidence.onAccepted(post.ledge->value().sequence, StalenessBound::kNever);
     }
     // A life number that may be lower than the last one: the machine's steady clock began anew.
-    post.book = std::make_unique<Guestbook>(
-        cairn::NodeFacts{post.id, post.zone, post.core, false, false, 0, Life{}},
-        Life{clock_.random() % 1000 + 1});
-    Roster::World world;
+    post.book = std::make_unique<InstanceRegistry>(
+        membership::NodeInfo{post.id, post.zone, post.core, false, false, 0, Incarnation{}},
+        Incarnation{clock_.random() % 1000 + 1});
+    GossipService::Environment world;
     world.now = [this] { return clock_.now(); };
-    world.clock = world.now;
-    world.after = [this, &post, life = post.life](Span wait, std::function<void()> work) {
+    world.readClock = world.now;
+    world.after = [this, &post, incarnation = post.life](Duration wait,
+                                                         std::function<void()> work) {
       const auto id = ++timers_;
-      clock_.at(clock_.now() + wait, [this, &post, life, id, work = std::move(work)] {
-        if (cancelled_.erase(id) == 0 && post.life == life) work();
+      clock_.at(clock_.now() + wait, [this, &post, incarnation, id, work = std::move(work)] {
+        if (cancelled_.erase(id) == 0 && post.life == incarnation) work();
       });
       return id;
     };
     world.cancel = [this](std::uint64_t id) { cancelled_.insert(id); };
-    world.post = [this, &post](const NodeId& to, const json& body, Span limit,
+    world.send = [this, &post](const NodeId& to, const json& body, Duration limit,
                                std::function<void(std::optional<json>)> answer) {
       send(post, to, body.dump(), limit, std::move(answer));
     };
-    post.roster = std::make_unique<Roster>(Roster::Parts{
+    post.roster = std::make_unique<GossipService>(GossipService::Dependencies{
         world, post.id, post.zone, [&post]() -> const std::vector<NodeId>& { return post.seeds; },
-        *post.book, [&post]() -> const Value& { return post.known; },
+        *post.book, [&post]() -> const RegisterValue& { return post.known; },
         [&post](std::uint64_t) -> const std::string& {
           post.text = toJson(post.known).dump();
           return post.text;
         },
-        [](const json& j) { return cairn::valueFrom(j); },
-        [this, &post](const Value& value) { learn(post, value); }, post.evidence,
-        [this, &post]() -> std::optional<Instant> {
+        [](const json& j) { return consensus::valueFromJson(j); },
+        [this, &post](const RegisterValue& value) { learn(post, value); }, post.evidence,
+        [this, &post]() -> std::optional<TimePoint> {
           if (voters_.empty()) return clock_.now();  // values come from nowhere
           if (!post.ledge) return std::nullopt;
-          return faults_.contains("ahead") ? clock_.now() : post.evidence.own(clock_.now());
+          return faults_.contains("ahead") ? clock_.now() : post.evidence.ownAsOf(clock_.now());
         },
         [] {}, post.core, number(s_, "edges", 0) == 0, fromMillis(number(s_, "pace", 10)),
-        fromMillis(number(s_, "let_in", 3)), Span(0)});
+        fromMillis(number(s_, "let_in", 3)), Duration(0)});
     if (!post.core) return;
     // As a restarted node does: what others may know already can wait.
-    post.book->trickle(clock_.now() + fromMillis(post.life > 1 ? 1500 : 0));
-    post.roster->onMet = [this, &post](const NodeId& node) {
+    post.book->throttleUpdatesUntil(clock_.now() + fromMillis(post.life > 1 ? 1500 : 0));
+    post.roster->onFirstContact = [this, &post](const NodeId& node) {
       if (at(node.str()).core) return;
-      post.book->trickle(clock_.now());
-      if (post.book->settle(clock_.now())) post.roster->news();
+      post.book->throttleUpdatesUntil(clock_.now());
+      if (post.book->releaseThrottledUpdates(clock_.now())) post.roster->notifyUpdate();
     };
   }
 
-  void learn(Post& post, const Value& value) {
+  void learn(Post& post, const RegisterValue& value) {
     if (value.sequence <= post.known.sequence) return;
     post.known = value;
-    post.evidence.learned(value.sequence);
+    post.evidence.onLearned(value.sequence);
     require(value.sequence >= post.lowest, "a node went back");
     post.lowest = value.sequence;
     if (value.sequence == newest_ && inTouch(post)) {
       slowest_ = std::max(slowest_, clock_.ms() - newestAt_);
     }
-    post.roster->news();
+    post.roster->notifyUpdate();
   }
 
   bool inTouch(const Post& post) const {
@@ -215,11 +217,11 @@
     return passes(a, b) && (loss_ <= 0 || !clock_.chance(loss_));
   }
 
-  void send(Post& from, const NodeId& to, const std::string& body, Span limit,
+  void send(Post& from, const NodeId& to, const std::string& body, Duration limit,
             std::function<void(std::optional<json>)> answer) {
     auto done = std::make_shared<std::function<void(std::optional<json>)>>(std::move(answer));
-    const auto finish = [this, &from, life = from.life, done](std::optional<json> a) {
-      if (!*done || from.life != life) return;
+    const auto finish = [this, &from, incarnation = from.life, done](std::optional<json> a) {
+      if (!*done || from.life != incarnation) return;
       const auto tell = std::move(*done);
       *done = nullptr;
       tell(std::move(a));
@@ -237,7 +239,7 @@
   void work(Post& post, std::size_t bytes, std::function<void()> then) {
     const auto cost = fromMillis(number(s_, post.core ? "core_ms" : "node_ms", 0) *
                                  (1 + static_cast<double>(bytes) / 32768));
-    if (cost <= Span(0)) {
+    if (cost <= Duration(0)) {
       then();
       return;
     }
@@ -252,8 +254,8 @@
         clock_.after(delay, [finish] { finish(std::nullopt); });
         return;
       }
-      target.roster->serve(json::parse(body), [this, &from, &target, finish,
-                                               came = clock_.ms()](const std::string& said) {
+      target.roster->handlePull(json::parse(body), [this, &from, &target, finish,
+                                                    came = clock_.ms()](const std::string& said) {
         const auto text = faulty(target, said, clock_.ms() - came);
         count(target, from, text.size() + 200);
         work(target, text.size(), [this, &from, &target, text, finish] {
@@ -277,38 +279,40 @@
 
   // ---- the register: real acceptors and proposers over the same network
 
-  void climb(Post& post, const Climber::Change& change,
-             std::function<void(const Climber::Result&)> told) {
+  void climb(Post& post, const Proposer::ChangeFunction& change,
+             std::function<void(const Proposer::Result&)> told) {
     struct Climb {
-      Climber climber;
+      Proposer climber;
       int life;
-      Instant began;
-      std::function<void(const Climber::Result&)> told;
+      TimePoint began;
+      std::function<void(const Proposer::Result&)> told;
     };
     const auto climb =
-        std::make_shared<Climb>(Climb{Climber(post.id, post.known, change, clock_.random()),
+        std::make_shared<Climb>(Climb{Proposer(post.id, post.known, change, clock_.random()),
                                       post.life, clock_.now(), std::move(told)});
-    const auto carry = std::make_shared<std::function<void(const std::vector<Climber::Send>&)>>();
+    const auto carry =
+        std::make_shared<std::function<void(const std::vector<Proposer::OutgoingRequest>&)>>();
     *carry = [this, &post, climb, weak = std::weak_ptr(carry)](const auto& sends) {
       const auto again = weak.lock();
       for (const auto& send : sends) {
-        deliver(post, at(send.to.str()), send.ask,
-                [this, &post, climb, again, to = send.to, round = send.round](const Reply& reply) {
+        deliver(post, at(send.recipient.str()), send.request,
+                [this, &post, climb, again, to = send.recipient,
+                 round = send.round](const RegisterReply& reply) {
                   if (climb->climber.result() || post.life != climb->life) return;
-                  (*again)(climb->climber.reply(to, round, reply, clock_.now()));
+                  (*again)(climb->climber.handleReply(to, round, reply, clock_.now()));
                 });
       }
       if (const auto& result = climb->climber.result()) {
         if (!climb->told) return;
         const auto tell = std::exchange(climb->told, nullptr);
-        if (result->known) {
-          learn(post, result->chosen);
-          post.evidence.read(climb->began);
+        if (result->valueKnown) {
+          learn(post, result->value);
+          post.evidence.onQuorumRead(climb->began);
         }
         tell(*result);
         return;
       }
-      clock_.at(climb->climber.wake(), [this, &post, climb, again] {
+      clock_.at(climb->climber.nextWakeUp(), [this, &post, climb, again] {
         if (climb->climber.result() || post.life != climb->life) return;
         (*again)(climb->climber.tick(clock_.now()));
       });
@@ -316,17 +320,19 @@
     (*carry)(climb->climber.start(clock_.now(), fromMillis(900)));
   }
 
-  void deliver(Post& from, Post& to, const Ask& ask, std::function<void(const Reply&)> back) {
+  void deliver(Post& from, Post& to, const RegisterRequest& ask,
+               std::function<void(const RegisterReply&)> back) {
     const auto delay = [this] { return clock_.uniform(0.2, 3); };
     clock_.after(delay(), [this, &from, &to, ask, delay, back = std::move(back)] {
       if (!to.up() || !to.ledge || (&from != &to && !arrives(from.id, to.id))) return;
-      const auto out = to.ledge->ask(ask);
-      to.evidence.accepted(to.ledge->value().sequence, clock_.now());
-      to.disk = to.ledge->save();
+      const auto out = to.ledge->handle(ask);
+      to.evidence.onAccepted(to.ledge->value().sequence, clock_.now());
+      to.disk = to.ledge->persistedState();
       noteChosen();
-      clock_.after(delay() + (out.sync ? 2 : 0),
-                   [this, &from, &to, life = to.life, reply = out.reply, back] {
-                     if (to.life == life && (&from == &to || arrives(to.id, from.id))) back(reply);
+      clock_.after(delay() + (out.syncBeforeSend ? 2 : 0),
+                   [this, &from, &to, incarnation = to.life, reply = out.reply, back] {
+                     if (to.life == incarnation && (&from == &to || arrives(to.id, from.id)))
+                       back(reply);
                    });
     });
   }
@@ -337,7 +343,7 @@
       const auto& some = *at(voter.str()).ledge;
       if (chosenAt_.contains(some.value().sequence) || some.value().sequence == 0) continue;
       const auto same = std::count_if(voters_.begin(), voters_.end(), [&](const NodeId& node) {
-        return at(node.str()).ledge->accepted() == some.accepted();
+        return at(node.str()).ledge->acceptedBallot() == some.acceptedBallot();
       });
       if (static_cast<std::size_t>(same) * 2 > voters_.size()) {
         chosenAt_[some.value().sequence] = clock_.ms();
@@ -357,20 +363,20 @@
     }
     climb(
         post,
-        [text](const Value& current, Value& wanted) {
-          Climber::Verdict verdict;
+        [text](const RegisterValue& current, RegisterValue& wanted) {
+          Proposer::Decision verdict;
           if (current.config && current.config->text() == text) return verdict;
-          wanted.config = cairn::Signboard::of(text);
-          verdict.kind = Climber::Verdict::Kind::put;
+          wanted.config = config::ConfigText::create(text);
+          verdict.kind = Proposer::Decision::Kind::write;
           return verdict;
         },
-        [this, next, text, tries](const Climber::Result& result) {
-          if (!result.ok) {
+        [this, next, text, tries](const Proposer::Result& result) {
+          if (!result.succeeded) {
             clock_.after(200, [this, next, text, tries] { order(next, text, tries + 1); });
             return;
           }
-          newest_ = std::max(newest_, result.chosen.sequence);
-          ackedAt_[result.chosen.sequence] = clock_.ms();
+          newest_ = std::max(newest_, result.value.sequence);
+          ackedAt_[result.value.sequence] = clock_.ms();
         });
   }
 
@@ -384,8 +390,8 @@
     if (post.reading || clock_.ms() - post.aheadSince < 250) return;
     post.reading = true;
     climb(
-        post, [](const Value&, Value&) { return Climber::Verdict{}; },
-        [this, &post](const Climber::Result&) {
+        post, [](const RegisterValue&, RegisterValue&) { return Proposer::Decision{}; },
+        [this, &post](const Proposer::Result&) {
           post.reading = false;
           post.aheadSince = clock_.ms();
         });
@@ -399,7 +405,7 @@
       for (const auto& b : posts_) {
         if (b->up() && b->ledge && linked(a->id, b->id)) met.insert(b->id);
       }
-      if (cairn::majority(voters_, met)) out.insert(a->id);
+      if (consensus::hasMajority(voters_, met)) out.insert(a->id);
     }
     return out;
   }
@@ -416,7 +422,7 @@
         if (in && post->outSince >= 0) post->inQuorumSince = now;
         if (!in && post->outSince < 0) post->outSince = now;
         if (in) post->outSince = -1;
-        const bool has = post->roster->hasAuthority();
+        const bool has = post->roster->hasQuorumLease();
         if (!in && has) lose_ = std::max(lose_, now - post->outSince);
         if (!in && has && now - post->outSince > number(s_, "lose_within", 3100)) ++falseAuthority_;
         if (in && !has) {
@@ -424,24 +430,24 @@
         }
         if (calm > 0) {
           if (!has) ++calmLosses_;
-          calmAuthority_ = std::max(calmAuthority_, toMillis(post->roster->quorumAge()));
+          calmAuthority_ = std::max(calmAuthority_, toMillis(post->roster->quorumContactAge()));
         }
       }
       const bool touching = std::all_of(quorum.begin(), quorum.end(),
                                         [&](const NodeId& core) { return linked(post->id, core); });
       if (!touching || quorum.empty()) post->touchingSince = now;
       if (calm > 0 && touching) {
-        if (!post->roster->current()) ++calmLosses_;
-        calmKnown_ = std::max(calmKnown_, toMillis(post->roster->knownAge()));
+        if (!post->roster->isUpToDate()) ++calmLosses_;
+        calmKnown_ = std::max(calmKnown_, toMillis(post->roster->stalenessAge()));
       }
       // All that was chosen before the moment it names, it knows.
-      const double upTo = now - toMillis(post->roster->knownAge());
+      const double upTo = now - toMillis(post->roster->stalenessAge());
       for (const auto& [sequence, chosen] : chosenAt_) {
         if (chosen < upTo && post->known.sequence < sequence) ++falseClaims_;
       }
       if (post->joins && !post->wasCurrent && post->known.sequence > 0) {
         join_ = std::max(join_, now - post->startedAt);
-        post->wasCurrent = post->roster->current();
+        post->wasCurrent = post->roster->isUpToDate();
       }
       const double since = std::max(post->touchingSince, post->startedAt);
       for (const auto& [sequence, acked] : ackedAt_) {
@@ -467,7 +473,8 @@
     for (auto& post : posts_) {
       if (!post->up()) continue;
       post->roster->tick();
-      if (post->core && post->book->settle(clock_.now())) post->roster->news();
+      if (post->core && post->book->releaseThrottledUpdates(clock_.now()))
+        post->roster->notifyUpdate();
     }
     if (knownAt_ <= 0 && std::all_of(posts_.begin(), posts_.end(), [this](const auto& post) {
           return post->up() && post->book->nodes().size() == posts_.size();
@@ -493,25 +500,26 @@
         newest_ = std::stoull(w.at(4));
         newestAt_ = clock_.ms();
         ++words_;
-        Value value;
+        RegisterValue value;
         value.sequence = newest_;
         for (int c = 0; c < 3; ++c) value.voters.emplace_back("c" + std::to_string(c));
-        if (w.size() > 5) value.config = cairn::Signboard::of(std::string(std::stoul(w[5]), 'x'));
+        if (w.size() > 5)
+          value.config = config::ConfigText::create(std::string(std::stoul(w[5]), 'x'));
         learn(at(w.at(3)), value);
       } else if (what == "server") {  // server NODE ID available|draining|gone
-        Server server;
+        Instance server;
         server.id = InstanceId(w.at(4));
         server.service = ServiceName("svc");
         server.sequence = ++words_;
         server.status =
-            w.at(5) == "draining" ? Server::Status::draining : Server::Status::available;
+            w.at(5) == "draining" ? Instance::Status::draining : Instance::Status::available;
         auto& post = at(w.at(3));
         if (w[5] == "gone") {
           post.book->deregister(server.id, clock_.now());
         } else {
-          post.book->beat(server, clock_.now());
+          post.book->handleHeartbeat(server, clock_.now());
         }
-        post.roster->news();
+        post.roster->notifyUpdate();
       } else if (what == "kill") {
         for (std::size_t i = 4; i < w.size(); ++i) {
           auto& post = at(w[i]);
@@ -538,13 +546,13 @@
       } else if (what ==
                  "leave") {  // leave NODE ID COPIES KILL-MS: acknowledged, then killed at once
         auto& post = at(w.at(3));
-        Server server;
+        Instance server;
         server.id = InstanceId(w.at(4));
         server.service = ServiceName("svc");
         server.sequence = 1000;
-        server.status = Server::Status::draining;
-        post.book->beat(server, clock_.now());
-        post.roster->news();
+        server.status = Instance::Status::draining;
+        post.book->handleHeartbeat(server, clock_.now());
+        post.roster->notifyUpdate();
         acknowledge(post, post.life, server.id, std::stoul(w.at(5)), std::stod(w.at(6)));
       } else if (what == "servers") {  // so many beat to cores from now on
         for (int i = 0; i < std::stoi(w.at(3)); ++i) {
@@ -573,7 +581,7 @@
         for (std::size_t i = 4; i < w.size(); ++i) post.seeds.emplace_back(w[i]);
         start(post);
       } else if (what == "forget") {  // a word is lost from one node's book, as by a fault
-        at(w.at(3)).book->drop(InstanceId(w.at(4)));
+        at(w.at(3)).book->loseInstance(InstanceId(w.at(4)));
       } else {
         throw Broken{"no such thing to do: " + what};
       }
@@ -589,14 +597,14 @@
     }
     auto& post = *posts_[core];
     if (post.up()) {
-      Server server;
+      Instance server;
       server.id = InstanceId("i-" + std::to_string(100000 + i));
       server.service = ServiceName("svc");
       server.address = "10.0.0." + std::to_string(i) + ":8080";
       server.zone = post.zone;
       server.sequence = ++sequence;
-      post.book->beat(server, clock_.now());
-      post.roster->news();
+      post.book->handleHeartbeat(server, clock_.now());
+      post.roster->notifyUpdate();
     }
     const double wait = post.up() ? 1500 : 100;
     clock_.after(clock_.uniform(wait * 0.9, wait),
@@ -604,13 +612,14 @@
   }
 
   // Once enough cores hold the word it is acknowledged, and the node that heard it is lost.
-  void acknowledge(Post& post, int life, const InstanceId& id, std::size_t copies, double killMs) {
-    if (post.life != life) return;
+  void acknowledge(Post& post, int incarnation, const InstanceId& id, std::size_t copies,
+                   double killMs) {
+    if (post.life != incarnation) return;
     const auto dot = post.book->dotOf(id);
     require(dot.has_value(), "the word is gone from where it was heard");
-    if (post.roster->holders(*dot) < copies) {
-      clock_.after(2, [this, &post, life, id, copies, killMs] {
-        acknowledge(post, life, id, copies, killMs);
+    if (post.roster->replicaCount(*dot) < copies) {
+      clock_.after(2, [this, &post, incarnation, id, copies, killMs] {
+        acknowledge(post, incarnation, id, copies, killMs);
       });
       return;
     }
@@ -627,9 +636,9 @@
     for (const auto& [id, since] : left_) {
       if (clock_.ms() - since < number(s_, "bound", 2000)) continue;
       for (const auto& post : posts_) {
-        if (!post->up() || !post->roster->everPulled() || !inTouch(*post)) continue;
-        const auto word = post->book->find(id);
-        require(!word || word->status != Server::Status::available,
+        if (!post->up() || !post->roster->hasPulled() || !inTouch(*post)) continue;
+        const auto word = post->book->findInstance(id);
+        require(!word || word->status != Instance::Status::available,
                 post->id.str() + " has not noticed that " + id.str() + " leaves");
       }
     }
@@ -686,4 +695,4 @@
   NewsWorld(scenario, seed).play(out);
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/world_bank.cpp
+++ b/tests/simulation/picker_world.cpp
@@ -3,13 +3,13 @@
 #include <cmath>
 #include <deque>
 
-#include "request/wayfinder.hpp"
+#include "proxy/d_adaptive_picker.hpp"
 #include "runner.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
-using trail::Look;
-using trail::Wayfinder;
+using proxy::DAdaptivePicker;
+using proxy::QueueSample;
 
 namespace {
 
@@ -45,9 +45,9 @@
   const auto play = [&](int samples, std::map<std::string, double>& m, const std::string& prefix) {
     Bank bank(scenario, seed);
     bank.queues.resize(n);
-    trail::SampleRule rule = trail::sampleAsMany;
+    proxy::SampleRule rule = proxy::sampleQueueLength;
     if (samples > 0) rule = [samples](double) { return static_cast<std::size_t>(samples - 1); };
-    Wayfinder picker(seed * 7 + 1, rule);
+    DAdaptivePicker picker(seed * 7 + 1, rule);
     double t = 0;
     std::vector<double> atLeast(12, 0);
     std::vector<int> first(n, 0);
@@ -58,9 +58,9 @@
                                                  mean)(bank.clock.random) *
            1000;
       bank.clock.runUntil(t);
-      std::vector<Look> looks(n);
+      std::vector<QueueSample> looks(n);
       for (std::size_t q = 0; q < n; ++q)
-        looks[q].jobs = static_cast<double>(bank.queues[q].size());
+        looks[q].queueLength = static_cast<double>(bank.queues[q].size());
       const auto choice = picker.pick(looks);
       ++first[choice.index];
       few += choice.samples <= 3 ? 1 : 0;
@@ -84,26 +84,26 @@
   play(2, out, "sq2");
   play(4, out, "sq4");
   // Sampling itself, on a still bank: uniform first sample, random ties, counts after f.
-  Wayfinder picker(seed + 99);
-  std::vector<Look> even(5);
+  DAdaptivePicker picker(seed + 99);
+  std::vector<QueueSample> even(5);
   std::vector<int> hits(5, 0);
   for (int i = 0; i < 50000; ++i) ++hits[picker.pick(even).index];
   out["tie_spread"] = static_cast<double>(*std::max_element(hits.begin(), hits.end())) /
                       static_cast<double>(*std::min_element(hits.begin(), hits.end()));
   double off = 0;
   for (double k = 0; k <= 12; ++k) {
-    std::vector<Look> same(9, Look{k});
+    std::vector<QueueSample> same(9, QueueSample{k});
     const auto want =
         std::min<std::size_t>(8, std::max<std::size_t>(1, static_cast<std::size_t>(k)));
     off += picker.pick(same).samples == want + 1 ? 0 : 1;
   }
   out["sample_counts_off"] = off;
   // With one queue in three longer, how often the first sample is one of them shows in the count.
-  std::vector<Look> mixed(9, Look{1});
-  for (std::size_t i = 0; i < 9; i += 3) mixed[i].jobs = 4;
+  std::vector<QueueSample> mixed(9, QueueSample{1});
+  for (std::size_t i = 0; i < 9; i += 3) mixed[i].queueLength = 4;
   double more = 0;
   for (int i = 0; i < 60000; ++i) more += picker.pick(mixed).samples == 5 ? 1 : 0;
   out["first_sample_share"] = more / 60000;
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/world_path.cpp
+++ b/tests/simulation/proxy_world.cpp
@@ -5,21 +5,21 @@
 #include <memory>
 #include <set>
 
-#include "request/ascent.hpp"
-#include "request/loads.hpp"
-#include "request/turnstile.hpp"
+#include "proxy/admission_queue.hpp"
+#include "proxy/attempt_planner.hpp"
+#include "proxy/load_tracker.hpp"
 #include "runner.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
-using trail::Ascent;
-using trail::Candidate;
-using trail::Loads;
-using trail::Outcome;
-using trail::Step;
-using trail::Toll;
-using trail::Turnstile;
-using trail::Wayfinder;
+using proxy::AdmissionQueue;
+using proxy::AttemptOutcome;
+using proxy::AttemptPlanner;
+using proxy::Candidate;
+using proxy::DAdaptivePicker;
+using proxy::LoadTracker;
+using proxy::PlannedAction;
+using proxy::RetryBudget;
 
 namespace {
 
@@ -29,8 +29,8 @@
   bool idempotent = false;
   int rank = 0;
   double began = 0;
-  Instant deadline;
-  std::unique_ptr<Ascent> ascent;
+  TimePoint deadline;
+  std::unique_ptr<AttemptPlanner> ascent;
   int runs = 0;
   bool over = false;
   int turn = 0;
@@ -47,18 +47,18 @@
 struct Host {
   InstanceId id;
   double speed = 1;
-  std::unique_ptr<Turnstile> gate;
+  std::unique_ptr<AdmissionQueue> gate;
   bool down = false;
   double closesAt = -1;
   double drainedAt = -1;
-  std::map<Turnstile::Ticket, Waiting> waiting;
+  std::map<AdmissionQueue::Ticket, Waiting> waiting;
   int epoch = 0;
 };
 
 struct Node {
-  std::unique_ptr<Wayfinder> wayfinder;
-  std::unique_ptr<Toll> toll;
-  Loads loads;
+  std::unique_ptr<DAdaptivePicker> wayfinder;
+  std::unique_ptr<RetryBudget> toll;
+  LoadTracker loads;
 };
 
 class PathWorld {
@@ -70,7 +70,7 @@
     for (int i = 0; i < servers; ++i) {
       auto host = std::make_unique<Host>();
       host->id = InstanceId("s" + std::to_string(i));
-      host->gate = std::make_unique<Turnstile>(slots);
+      host->gate = std::make_unique<AdmissionQueue>(slots);
       if (!speeds.empty()) {
         const auto& w = speeds[0]->words;
         host->speed = std::stod(w[1 + static_cast<std::size_t>(i) % (w.size() - 1)]);
@@ -82,9 +82,9 @@
     terms_.slack = number(s_, "slack", 60);
     for (int i = 0; i < nodes; ++i) {
       auto node = std::make_unique<Node>();
-      node->wayfinder = std::make_unique<Wayfinder>(clock_.random());
-      node->toll = std::make_unique<Toll>(terms_);
-      node->toll->setNodes(static_cast<std::size_t>(nodes));
+      node->wayfinder = std::make_unique<DAdaptivePicker>(clock_.random());
+      node->toll = std::make_unique<RetryBudget>(terms_);
+      node->toll->setNodeCount(static_cast<std::size_t>(nodes));
       nodes_.push_back(std::move(node));
     }
   }
@@ -125,7 +125,7 @@
         ++host.epoch;
         clock_.after(std::stod(w.at(4)), [this, &host] {
           host.down = false;
-          host.gate = std::make_unique<Turnstile>(host.gate->slots());
+          host.gate = std::make_unique<AdmissionQueue>(host.gate->slots());
           host.waiting.clear();
           return this;
         });
@@ -161,22 +161,23 @@
     requests_.push_back(request);
     firsts_.push_back(clock_.ms());
     (request->rank == 0 ? high_ : low_) += 1;
-    trail::Terms terms;
+    proxy::RequestPolicy terms;
     terms.service = ServiceName("svc");
     terms.idempotent = request->idempotent;
     terms.maxAttempts = static_cast<int>(number(s_, "max_attempts", 2));
     terms.deadline = request->deadline;
     auto& node = *nodes_[static_cast<std::size_t>(request->node)];
-    request->ascent = std::make_unique<Ascent>(
+    request->ascent = std::make_unique<AttemptPlanner>(
         terms, [this, &node]() -> const std::vector<Candidate>& { return candidates(node); },
         *node.wayfinder, *node.toll);
     clock_.at(request->deadline, [this, request] {
       if (request->over) return;
       const bool sent = request->turn > 0;
-      const auto kind = request->ascent->atDeadline(sent);
-      end(*request, answerFor(kind).notRun ? refused_ : overdue_, answerFor(kind).notRun);
+      const auto kind = request->ascent->errorAtDeadline(sent);
+      end(*request, responseFor(kind).notExecuted ? refused_ : overdue_,
+          responseFor(kind).notExecuted);
     });
-    carryOut(request, request->ascent->begin(clock_.now()));
+    carryOut(request, request->ascent->start(clock_.now()));
   }
 
   const std::vector<Candidate>& candidates(Node& node) {
@@ -185,46 +186,47 @@
     for (const auto& host : hosts_) {
       // News of a drain takes a while to get round.
       if (host->drainedAt >= 0 && clock_.ms() - host->drainedAt > number(s_, "news", 50)) continue;
-      const auto& book = node.loads.book(host->id);
-      if (!Loads::reachable(book, clock_.now())) continue;
-      out.push_back({&host->id, nullptr, Loads::jobs(book, clock_.now()), 0, host->gate->slots()});
+      const auto& book = node.loads.load(host->id);
+      if (!LoadTracker::isReachable(book, clock_.now())) continue;
+      out.push_back({&host->id, nullptr, LoadTracker::estimatedLoad(book, clock_.now()), 0,
+                     host->gate->slots()});
     }
     return out;
   }
 
-  void carryOut(const std::shared_ptr<Request>& request, const Step& step) {
-    if (request->over || step.what == Step::Do::wait) return;
-    if (step.what == Step::Do::answer) {
+  void carryOut(const std::shared_ptr<Request>& request, const PlannedAction& step) {
+    if (request->over || step.kind == PlannedAction::Kind::wait) return;
+    if (step.kind == PlannedAction::Kind::respond) {
       require(request->out.empty() && request->working == 0,
               "an answer of our own while a server's is owed");
-      const auto& row = answerFor(step.error);
-      end(*request, row.notRun ? refused_ : unclear_, row.notRun);
+      const auto& row = responseFor(step.error);
+      end(*request, row.notExecuted ? refused_ : unclear_, row.notExecuted);
       return;
     }
     const int turn = ++request->turn;
     request->out.insert(turn);
-    auto& host = hostOf(*step.to.id);
+    auto& host = hostOf(*step.candidate.id);
     auto& node = *nodes_[static_cast<std::size_t>(request->node)];
-    node.loads.began(host.id, clock_.now());
+    node.loads.onRequestStarted(host.id, clock_.now());
     if (lost("unsent")) {
-      back(request, turn, host, Outcome::unreachable, 300);
+      back(request, turn, host, AttemptOutcome::unreachable, 300);
       return;
     }
     if (lost("before_ingress")) {
-      back(request, turn, host, Outcome::maybeRun, 50);
+      back(request, turn, host, AttemptOutcome::maybeExecuted, 50);
       return;
     }
     const double way = lost("slow_way") ? clock_.uniform(100, number(s_, "slow_way", 400))
                                         : clock_.uniform(0.1, 1.2);
-    clock_.after(way, [this, request, turn, &host, wait = step.mayWait] {
+    clock_.after(way, [this, request, turn, &host, wait = step.mayQueue] {
       if (request->out.contains(turn)) atIngress(request, turn, host, wait);
     });
     clock_.after(150, [this, request, turn, &host, &node] {
       if (request->over || !request->out.contains(turn) || request->signed_.contains(turn)) return;
       ++silent_;
-      node.loads.failed(host.id, clock_.now());
-      const auto next = request->ascent->silent(host.id, clock_.now());
-      besides_ += next.what == Step::Do::send ? 1 : 0;
+      node.loads.onUnreachable(host.id, clock_.now());
+      const auto next = request->ascent->onAttemptSilent(host.id, clock_.now());
+      besides_ += next.kind == PlannedAction::Kind::send ? 1 : 0;
       carryOut(request, next);
     });
   }
@@ -232,29 +234,30 @@
   void atIngress(const std::shared_ptr<Request>& request, int turn, Host& host, bool mayWait) {
     const bool closed = host.closesAt >= 0 && clock_.ms() >= host.closesAt;
     if (host.down || closed) {
-      back(request, turn, host, Outcome::notThere, 1);
+      back(request, turn, host, AttemptOutcome::unavailable, 1);
       return;
     }
     clock_.after(1, [request, turn, &host] {
       request->signed_.insert(turn);
-      if (!request->over && request->out.contains(turn)) request->ascent->sign(host.id);
+      if (!request->over && request->out.contains(turn))
+        request->ascent->onInterimResponse(host.id);
     });
-    Turnstile::Arrival arrival;
+    AdmissionQueue::Arrival arrival;
     arrival.ticket = ++tickets_;
-    arrival.rank = request->rank;
+    arrival.priority = request->rank;
     arrival.deadline = request->deadline;
-    arrival.target = Instant(fromMillis(request->began + number(s_, "target", 800)));
-    arrival.mayWait = mayWait;
-    switch (host.gate->arrive(arrival, clock_.now())) {
-      case Turnstile::Answer::full:
-        back(request, turn, host, Outcome::full, 1);
+    arrival.targetTime = TimePoint(fromMillis(request->began + number(s_, "target", 800)));
+    arrival.mayQueue = mayWait;
+    switch (host.gate->admit(arrival, clock_.now())) {
+      case AdmissionQueue::Admission::rejected:
+        back(request, turn, host, AttemptOutcome::overloaded, 1);
         break;
-      case Turnstile::Answer::wait:
+      case AdmissionQueue::Admission::queued:
         host.waiting[arrival.ticket] = {request, turn};
         clock_.at(host.gate->nextDeadline() + fromMillis(1),
                   [this, &host] { move(host, host.gate->tick(clock_.now())); });
         break;
-      case Turnstile::Answer::run:
+      case AdmissionQueue::Admission::admitted:
         run(request, turn, host);
         break;
     }
@@ -262,15 +265,15 @@
 
   void run(const std::shared_ptr<Request>& request, int turn, Host& host) {
     if (lost("before_server")) {
-      move(host, host.gate->done(clock_.now(), Span(0)));
+      move(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
       arrivals_.emplace_back(clock_.ms(), request->number);
-      back(request, turn, host, Outcome::maybeRun, 1);
+      back(request, turn, host, AttemptOutcome::maybeExecuted, 1);
       return;
     }
     arrivals_.emplace_back(clock_.ms(), request->number);
     if (lost("turned_away")) {
-      move(host, host.gate->done(clock_.now(), Span(0)));
-      back(request, turn, host, Outcome::turnedAway, 1);
+      move(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
+      back(request, turn, host, AttemptOutcome::notExecuted, 1);
       return;
     }
     ++request->runs;
@@ -287,21 +290,21 @@
     clock_.after(work, [this, request, turn, &host, epoch, began] {
       --request->working;
       if (host.epoch != epoch) {
-        back(request, turn, host, Outcome::maybeRun, 1);
+        back(request, turn, host, AttemptOutcome::maybeExecuted, 1);
         return;
       }
-      const auto moves = host.gate->done(clock_.now(), fromMillis(clock_.ms() - began));
-      const int jobs = host.gate->running() + host.gate->waiting();
+      const auto moves = host.gate->onRequestEnded(clock_.now(), fromMillis(clock_.ms() - began));
+      const int jobs = host.gate->running() + host.gate->queued();
       move(host, moves);
       if (lost("after_run")) {
-        back(request, turn, host, Outcome::maybeRun, 1);
+        back(request, turn, host, AttemptOutcome::maybeExecuted, 1);
         return;
       }
       clock_.after(clock_.uniform(0.1, 1.2), [this, request, turn, &host, jobs] {
         auto& node = *nodes_[static_cast<std::size_t>(request->node)];
         if (request->out.erase(turn) == 0) return;
-        node.loads.ended(host.id, clock_.now());
-        node.loads.reported(host.id, jobs, clock_.now());
+        node.loads.onRequestEnded(host.id, clock_.now());
+        node.loads.onLoadReported(host.id, jobs, clock_.now());
         if (request->over) return;
         request->over = true;
         served_ += 1;
@@ -311,33 +314,34 @@
     });
   }
 
-  void move(Host& host, const Turnstile::Moves& moves) {
-    for (const auto ticket : moves.run) {
+  void move(Host& host, const AdmissionQueue::Transitions& moves) {
+    for (const auto ticket : moves.admitted) {
       const auto w = host.waiting.extract(ticket);
       if (w.empty()) continue;
       if (w.mapped().request->over) {
-        move(host, host.gate->done(clock_.now(), Span(0)));
+        move(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
       } else {
         run(w.mapped().request, w.mapped().turn, host);
       }
     }
-    for (const auto ticket : moves.tooLate) {
+    for (const auto ticket : moves.expired) {
       const auto w = host.waiting.extract(ticket);
-      if (!w.empty()) back(w.mapped().request, w.mapped().turn, host, Outcome::full, 1);
+      if (!w.empty())
+        back(w.mapped().request, w.mapped().turn, host, AttemptOutcome::overloaded, 1);
     }
   }
 
-  void back(const std::shared_ptr<Request>& request, int turn, Host& host, Outcome outcome,
+  void back(const std::shared_ptr<Request>& request, int turn, Host& host, AttemptOutcome outcome,
             double ms) {
     clock_.after(ms, [this, request, turn, &host, outcome] {
       auto& node = *nodes_[static_cast<std::size_t>(request->node)];
       if (request->out.erase(turn) == 0) return;
-      node.loads.ended(host.id, clock_.now());
-      if (outcome == Outcome::unreachable || outcome == Outcome::notThere) {
-        node.loads.failed(host.id, clock_.now());
+      node.loads.onRequestEnded(host.id, clock_.now());
+      if (outcome == AttemptOutcome::unreachable || outcome == AttemptOutcome::unavailable) {
+        node.loads.onUnreachable(host.id, clock_.now());
       }
       if (request->over) return;
-      carryOut(request, request->ascent->after(host.id, outcome, clock_.now()));
+      carryOut(request, request->ascent->onAttemptEnded(host.id, outcome, clock_.now()));
     });
   }
 
@@ -384,7 +388,7 @@
 
   const Scenario& s_;
   Clock clock_;
-  trail::TollTerms terms_;
+  proxy::RetryBudgetOptions terms_;
   std::vector<std::unique_ptr<Host>> hosts_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Candidate> candidates_;
@@ -394,7 +398,7 @@
   std::vector<double> repeats_;
   std::vector<double> times_;
   std::set<int> promised_;
-  Turnstile::Ticket tickets_ = 0;
+  AdmissionQueue::Ticket tickets_ = 0;
   double served_ = 0;
   double refused_ = 0;
   double unclear_ = 0;
@@ -414,4 +418,4 @@
   PathWorld(scenario, seed).play(out);
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
