--- a/tests/world_explore.cpp
+++ b/tests/simulation/register_explorer.cpp
@@ -1,7 +1,7 @@
-// A model checker over the real Ledge and Climber: small scopes, every interleaving to a bound of
-// states, told apart by hash, and seeded random walks beyond it. A broken run is shrunk and printed
-// as `do` lines, which this world plays again. Time is only the step `timeout`; a lost message is
-// one that is never delivered.
+// A model checker over the real Acceptor and Proposer: small scopes, every interleaving to a bound
+// of states, told apart by hash, and seeded random walks beyond it. A broken run is shrunk and
+// printed as `do` lines, which this world plays again. Time is only the step `timeout`; a lost
+// message is one that is never delivered.
 #include <algorithm>
 #include <cmath>
 #include <iostream>
@@ -11,30 +11,31 @@
 #include <span>
 #include <unordered_set>
 
+#include "base/hash.hpp"
+#include "consensus/register.hpp"
 #include "runner.hpp"
-#include "version/register.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
-using cairn::Ask;
-using cairn::Ballot;
-using cairn::Climber;
-using cairn::Ledge;
-using cairn::majority;
-using cairn::Reply;
-using cairn::Value;
+using consensus::Acceptor;
+using consensus::Ballot;
+using consensus::hasMajority;
+using consensus::Proposer;
+using consensus::RegisterReply;
+using consensus::RegisterRequest;
+using consensus::RegisterValue;
 
 namespace {
 
-std::uint64_t hashOf(const std::string& text) { return mixHash(text, 0x9e3779b97f4a7c15ULL); }
+std::uint64_t hashOf(const std::string& text) { return stableHash(text, 0x9e3779b97f4a7c15ULL); }
 
 // Every change appends its mark to the text, so a text is the list of the changes before it.
-std::string marks(const Value& value) { return value.config ? value.config->text() : ""; }
-bool hasMark(const Value& value, const std::string& mark) {
+std::string marks(const RegisterValue& value) { return value.config ? value.config->text() : ""; }
+bool hasMark(const RegisterValue& value, const std::string& mark) {
   return marks(value).find(mark + " ") != std::string::npos;
 }
-void addMark(Value& next, const std::string& mark) {
-  next.config = cairn::Signboard::of(marks(next) + mark + " ");
+void addMark(RegisterValue& next, const std::string& mark) {
+  next.config = config::ConfigText::create(marks(next) + mark + " ");
 }
 
 struct Message {
@@ -43,33 +44,33 @@
   std::size_t who = 0;      // the proposer, or the voter that reads the others
   std::size_t voter = 0;    // the one that answers
   std::uint64_t round = 0;  // of the proposer, or the asker's life
-  Ask ask;
-  Reply reply;
+  RegisterRequest ask;
+  RegisterReply reply;
   std::string name;
   std::uint64_t hash = 0;
 };
 using MessagePtr = std::shared_ptr<const Message>;
 
 struct Node {
-  Node(Ledge first, Value value) : ledge(std::move(first)), known(std::move(value)) {}
-  Ledge ledge;
-  std::optional<Ledge> disk;         // what a crash leaves
-  std::vector<Ledge> votes;          // acceptances that are not on the disk yet
+  Node(Acceptor first, RegisterValue value) : ledge(std::move(first)), known(std::move(value)) {}
+  Acceptor ledge;
+  std::optional<Acceptor> disk;      // what a crash leaves
+  std::vector<Acceptor> votes;       // acceptances that are not on the disk yet
   std::vector<MessagePtr> unsynced;  // answers that wait for the disk
   bool dirty = false;
   int wiped = 0;  // starts without a disk
-  Value known;
+  RegisterValue known;
   std::set<NodeId> asked;            // while asleep
   std::vector<std::uint64_t> heard;  // while asleep
   std::uint64_t hash = 0;
 
   void seal() {
-    const auto head = ledge.save().head;
+    const auto head = ledge.persistedState().head;
     std::string text = head +
                        (!disk   ? "-"
-                        : dirty ? disk->save().head
+                        : dirty ? disk->persistedState().head
                                 : "=") +
-                       (dirty ? "d" : "") + std::to_string(wiped) + known.stamp + "/" +
+                       (dirty ? "d" : "") + std::to_string(wiped) + known.uniqueId + "/" +
                        std::to_string(known.epoch);
     for (const auto& node : asked) text += node.str();
     hash = hashOf(text);
@@ -78,8 +79,8 @@
   }
 };
 
-struct Proposer {
-  std::optional<Climber> climber;
+struct ProposingNode {
+  std::optional<Proposer> climber;
   std::uint64_t round = 0;
   bool accepting = false;
   int rounds = 0;
@@ -88,7 +89,7 @@
   std::uint64_t hash = 0;
 
   void seal() {
-    hash = hashOf((climber ? climber->state().dump() : "") + std::to_string(rounds) + "/" +
+    hash = hashOf((climber ? climber->debugState().dump() : "") + std::to_string(rounds) + "/" +
                   std::to_string(floor) + (done ? "d" : ""));
   }
 };
@@ -100,7 +101,7 @@
     std::set<std::size_t> wiped;  // since
   };
   std::map<std::pair<Ballot, std::string>, Votes> accepts;
-  std::map<std::uint64_t, Value> chosen;  // by sequence: chosen, or reported as chosen
+  std::map<std::uint64_t, RegisterValue> chosen;  // by sequence: chosen, or reported as chosen
   std::set<std::string> acked;
   std::set<std::string> refused;
   std::uint64_t reported = 0;
@@ -109,11 +110,11 @@
   void seal() {
     std::string text;
     for (const auto& [key, votes] : accepts) {
-      text += std::to_string(key.first.number) + key.first.by.str() + key.second + ":";
+      text += std::to_string(key.first.number) + key.first.author.str() + key.second + ":";
       for (const auto n : votes.ever)
         text += (votes.wiped.contains(n) ? "-" : "") + std::to_string(n);
     }
-    for (const auto& [sequence, value] : chosen) text += value.stamp + ";";
+    for (const auto& [sequence, value] : chosen) text += value.uniqueId + ";";
     for (const auto& mark : acked) text += mark + "+";
     for (const auto& mark : refused) text += mark + "-";
     hash = hashOf(text + std::to_string(reported));
@@ -122,7 +123,7 @@
 
 struct State {
   std::vector<std::shared_ptr<const Node>> nodes;
-  std::vector<std::shared_ptr<const Proposer>> proposers;
+  std::vector<std::shared_ptr<const ProposingNode>> proposers;
   std::vector<MessagePtr> wire;
   std::shared_ptr<const History> history;
   int wipes = 0;
@@ -181,13 +182,16 @@
       ids_.emplace_back("n" + std::to_string(i));
       if (i <= voters) first_.push_back(ids_.back());
     }
-    Value known;
+    RegisterValue known;
     known.voters = first_;
     for (std::size_t i = 0; i < nodes; ++i) {
       const bool awake = i < voters || fault("unread");
-      auto node = std::make_shared<Node>(
-          Ledge(ids_[i], awake ? cairn::firstLife(i + 1) : cairn::laterLife(Life{}, i + 1), awake),
-          known);
+      auto node =
+          std::make_shared<Node>(Acceptor(ids_[i],
+                                          awake ? consensus::firstIncarnation(i + 1)
+                                                : consensus::nextIncarnation(Incarnation{}, i + 1),
+                                          awake),
+                                 known);
       node->disk = node->ledge;
       node->seal();
       begin_.nodes.push_back(std::move(node));
@@ -209,7 +213,7 @@
         next_ = task.voters;
       }
       tasks_.push_back(std::move(task));
-      auto proposer = std::make_shared<Proposer>();
+      auto proposer = std::make_shared<ProposingNode>();
       proposer->seal();
       begin_.proposers.push_back(std::move(proposer));
     }
@@ -328,30 +332,31 @@
       for (std::size_t i = 0; i < ids_.size(); ++i) {
         edit(state.nodes[i], [](Node& n) { n.asked.clear(); });
         if (!state.nodes[i]->unsynced.empty()) take(state, {Step::Kind::sync, i, 0});
-        if (state.nodes[i]->ledge.rejoinAsk()) take(state, {Step::Kind::rejoin, i, 0});
+        if (state.nodes[i]->ledge.rejoinRequest()) take(state, {Step::Kind::rejoin, i, 0});
         while (!state.wire.empty()) take(state, {Step::Kind::deliver, 0, 0});
       }
     }
-    Value known;
+    RegisterValue known;
     known.voters = first_;
-    Climber reader(
-        ids_[0], known, [](const Value&, Value&) { return Climber::Verdict{}; }, 99);
-    auto sends = reader.start(Instant(), fromSeconds(3600));
+    Proposer reader(
+        ids_[0], known, [](const RegisterValue&, RegisterValue&) { return Proposer::Decision{}; },
+        99);
+    auto sends = reader.start(TimePoint(), fromSeconds(3600));
     for (int round = 0; round < 20 && !reader.result(); ++round) {
       while (!sends.empty()) {
         const auto send = sends.front();
         sends.erase(sends.begin());
-        Reply reply;
-        edit(state.nodes[place(send.to.str())],
-             [&](Node& n) { reply = n.ledge.ask(send.ask).reply; });
-        for (auto& more : reader.reply(send.to, send.round, reply, Instant())) {
+        RegisterReply reply;
+        edit(state.nodes[place(send.recipient.str())],
+             [&](Node& n) { reply = n.ledge.handle(send.request).reply; });
+        for (auto& more : reader.handleReply(send.recipient, send.round, reply, TimePoint())) {
           sends.push_back(std::move(more));
         }
       }
-      if (!reader.result()) sends = reader.tick(reader.wake());
+      if (!reader.result()) sends = reader.tick(reader.nextWakeUp());
     }
-    if (!reader.result() || !reader.result()->known) return "healed, but it can't be read";
-    report(state, reader.result()->chosen);
+    if (!reader.result() || !reader.result()->valueKnown) return "healed, but it can't be read";
+    report(state, reader.result()->value);
     return state.broken;
   }
 
@@ -449,15 +454,16 @@
       if (p.climber && !p.done && p.rounds < rounds_) out.push_back({Step::Kind::timeout, i, 0});
     }
     std::size_t asleep = 0;
-    for (std::size_t i = 0; i < first_.size(); ++i) asleep += state.nodes[i]->ledge.awake() ? 0 : 1;
+    for (std::size_t i = 0; i < first_.size(); ++i)
+      asleep += state.nodes[i]->ledge.recovered() ? 0 : 1;
     for (std::size_t i = 0; i < ids_.size(); ++i) {
       const auto& node = *state.nodes[i];
       if (syncs_ && node.dirty) out.push_back({Step::Kind::sync, i, 0});
       if (state.crashes < crashes_) out.push_back({Step::Kind::crash, i, 0});
-      if (state.wipes < wipes_ && (asleep < asleepMost_ || !node.ledge.awake())) {
+      if (state.wipes < wipes_ && (asleep < asleepMost_ || !node.ledge.recovered())) {
         out.push_back({Step::Kind::wipe, i, 0});
       }
-      if (!node.ledge.awake()) {
+      if (!node.ledge.recovered()) {
         for (const auto& other : othersOf(node, ids_[i])) {
           if (node.asked.contains(other)) continue;
           out.push_back({Step::Kind::rejoin, i, 0});
@@ -476,13 +482,13 @@
   // A change of voters begins once all of the new ones are awake.
   [[nodiscard]] bool ready(const State& state, const Task& task) const {
     return std::all_of(task.voters.begin(), task.voters.end(), [&](const NodeId& voter) {
-      return state.nodes[place(voter.str())]->ledge.awake();
+      return state.nodes[place(voter.str())]->ledge.recovered();
     });
   }
 
   // News matters to those that will yet start from what they know.
   [[nodiscard]] bool listens(const State& state, std::size_t node) const {
-    if (!state.nodes[node]->ledge.awake()) return true;
+    if (!state.nodes[node]->ledge.recovered()) return true;
     for (std::size_t i = 0; i < tasks_.size(); ++i) {
       if (tasks_[i].node == node && !state.proposers[i]->climber) return true;
     }
@@ -491,7 +497,7 @@
 
   static std::set<NodeId> othersOf(const Node& node, const NodeId& self) {
     std::set<NodeId> others(node.known.voters.begin(), node.known.voters.end());
-    others.insert(node.known.before.begin(), node.known.before.end());
+    others.insert(node.known.previousVoters.begin(), node.known.previousVoters.end());
     others.erase(self);
     return others;
   }
@@ -540,9 +546,9 @@
         start(state, step.a);
         break;
       case Step::Kind::timeout:
-        edit(state.proposers[step.a], [&](Proposer& p) {
+        edit(state.proposers[step.a], [&](ProposingNode& p) {
           ++p.rounds;
-          send(state, step.a, p, p.climber->tick(p.climber->wake()));
+          send(state, step.a, p, p.climber->tick(p.climber->nextWakeUp()));
         });
         break;
       case Step::Kind::again:
@@ -558,7 +564,7 @@
       case Step::Kind::sync:
         edit(state.nodes[step.a], [&](Node& n) {
           sync(state, n);
-          for (const auto& ledge : std::exchange(n.votes, {})) hold(state, step.a, ledge);
+          for (const auto& acceptor : std::exchange(n.votes, {})) hold(state, step.a, acceptor);
         });
         break;
       case Step::Kind::crash:
@@ -576,14 +582,14 @@
       }
       case Step::Kind::rejoin:
         edit(state.nodes[step.a], [&](Node& n) {
-          const auto ask = n.ledge.rejoinAsk();
+          const auto ask = n.ledge.rejoinRequest();
           for (const auto& other : othersOf(n, ids_[step.a])) {
             if (!n.asked.insert(other).second) continue;
             Message m;
             m.kind = Message::Kind::rejoin;
             m.who = step.a;
             m.voter = place(other.str());
-            m.round = ask->life.value;
+            m.round = ask->incarnation.value;
             m.ask = *ask;
             put(state, std::move(m));
           }
@@ -599,45 +605,48 @@
 
   void start(State& state, std::size_t who) {
     const auto& task = tasks_[who];
-    Climber::Change change = [](const Value&, Value&) { return Climber::Verdict{}; };
+    Proposer::ChangeFunction change = [](const RegisterValue&, RegisterValue&) {
+      return Proposer::Decision{};
+    };
     if (task.kind == "put") {
-      change = [&task, revision = static_cast<std::int64_t>(who) + 1](const Value& current,
-                                                                      Value& next) {
-        Climber::Verdict verdict;
+      change = [&task, revision = static_cast<std::int64_t>(who) + 1](const RegisterValue& current,
+                                                                      RegisterValue& next) {
+        Proposer::Decision verdict;
         if (hasMark(current, task.mark)) return verdict;
-        verdict.kind = Climber::Verdict::Kind::refuse;
+        verdict.kind = Proposer::Decision::Kind::reject;
         if (current.configRevision.value != task.base) return verdict;
-        verdict.kind = Climber::Verdict::Kind::put;
+        verdict.kind = Proposer::Decision::Kind::write;
         next.configRevision = Revision{revision};
         addMark(next, task.mark);
         return verdict;
       };
     } else if (task.kind == "change") {
-      change = [&task](const Value& current, Value& next) {
-        Climber::Verdict verdict;
+      change = [&task](const RegisterValue& current, RegisterValue& next) {
+        Proposer::Decision verdict;
         if (current.epoch >= 2) return verdict;
-        verdict.kind = Climber::Verdict::Kind::put;
+        verdict.kind = Proposer::Decision::Kind::write;
         next.epoch = current.epoch + 1;
-        next.before = current.epoch == 0 ? current.voters : std::vector<NodeId>{};
+        next.previousVoters = current.epoch == 0 ? current.voters : std::vector<NodeId>{};
         next.voters = task.voters;
         addMark(next, current.epoch == 0 ? "both" : "new");
         return verdict;
       };
     }
-    edit(state.proposers[who], [&](Proposer& p) {
+    edit(state.proposers[who], [&](ProposingNode& p) {
       p.climber.emplace(ids_[task.node], state.nodes[task.node]->known, std::move(change), who + 1);
       p.floor = state.history->reported;
       ++p.rounds;
-      send(state, who, p, p.climber->start(Instant(), fromSeconds(3600)));
+      send(state, who, p, p.climber->start(TimePoint(), fromSeconds(3600)));
     });
   }
 
-  void send(State& state, std::size_t who, Proposer& p, const std::vector<Climber::Send>& sends) {
+  void send(State& state, std::size_t who, ProposingNode& p,
+            const std::vector<Proposer::OutgoingRequest>& sends) {
     for (const auto& one : sends) {
       p.round = one.round;
-      p.accepting = one.ask.kind == Ask::Kind::accept;
+      p.accepting = one.request.kind == RegisterRequest::Kind::accept;
       if (fault("refusal") && p.accepting && tasks_[who].kind == "put" &&
-          !hasMark(one.ask.value, tasks_[who].mark)) {
+          !hasMark(one.request.value, tasks_[who].mark)) {
         // Planted: refused as soon as a majority has been read.
         p.done = true;
         refuse(state, who);
@@ -645,9 +654,9 @@
       }
       Message m;
       m.who = who;
-      m.voter = place(one.to.str());
+      m.voter = place(one.recipient.str());
       m.round = one.round;
-      m.ask = one.ask;
+      m.ask = one.request;
       put(state, std::move(m));
     }
     if (p.done || !p.climber->result()) return;
@@ -656,15 +665,15 @@
     std::erase_if(state.wire, [&](const MessagePtr& m) {
       return m->kind == Message::Kind::answer && m->who == who;
     });
-    if (!result.known) return;
+    if (!result.valueKnown) return;
     const auto& task = tasks_[who];
-    report(state, result.chosen);
-    if (result.chosen.sequence < p.floor) state.broken = "a later call saw an older value";
+    report(state, result.value);
+    if (result.value.sequence < p.floor) state.broken = "a later call saw an older value";
     edit(state.nodes[task.node], [&](Node& n) {
-      if (result.chosen.sequence > n.known.sequence) n.known = result.chosen;
+      if (result.value.sequence > n.known.sequence) n.known = result.value;
     });
-    if (task.kind == "put" && result.ok) {
-      if (!hasMark(result.chosen, task.mark)) state.broken = "acknowledged, but not in the value";
+    if (task.kind == "put" && result.succeeded) {
+      if (!hasMark(result.value, task.mark)) state.broken = "acknowledged, but not in the value";
       for (std::size_t i = 0; i < tasks_.size(); ++i) {
         if (tasks_[i].kind == "put" && tasks_[i].base == task.base && tasks_[i].mark != task.mark &&
             state.history->acked.contains(tasks_[i].mark)) {
@@ -673,7 +682,7 @@
       }
       edit(state.history, [&](History& h) { h.acked.insert(task.mark); });
     }
-    if (task.kind == "put" && !result.ok) refuse(state, who);
+    if (task.kind == "put" && !result.succeeded) refuse(state, who);
   }
 
   void put(State& state, Message m) {
@@ -699,24 +708,25 @@
         edit(state.nodes[m->voter], [&](Node& n) { answer(state, n, *m); });
         break;
       case Message::Kind::answer:
-        edit(state.proposers[m->who], [&](Proposer& p) {
+        edit(state.proposers[m->who], [&](ProposingNode& p) {
           if (p.done) return;
           auto reply = m->reply;
           auto round = m->round;
-          if (reply.same) reply.value = Value{};
-          if (fault("lives")) reply.lives.clear();
+          if (reply.sameValue) reply.value = RegisterValue{};
+          if (fault("lives")) reply.incarnations.clear();
           if (fault("late") && p.accepting && round + 1 == p.round) round = p.round;
-          if (fault("one-majority")) reply.value.before.clear();
-          send(state, m->who, p, p.climber->reply(ids_[m->voter], round, reply, Instant()));
+          if (fault("one-majority")) reply.value.previousVoters.clear();
+          send(state, m->who, p, p.climber->handleReply(ids_[m->voter], round, reply, TimePoint()));
         });
         break;
       case Message::Kind::told:
-        if (state.nodes[m->who]->ledge.life().value != m->round) break;
+        if (state.nodes[m->who]->ledge.incarnation().value != m->round) break;
         edit(state.nodes[m->who], [&](Node& n) {
-          if (n.ledge.awake()) return;
+          if (n.ledge.recovered()) return;
           n.heard.push_back(m->hash);
-          const bool woken = n.ledge.rejoinReply(ids_[m->voter], m->reply, n.known);
-          if (n.ledge.life().value != m->round) n.asked.clear();  // raised: all are asked again
+          const bool woken = n.ledge.handleRejoinReply(ids_[m->voter], m->reply, n.known);
+          if (n.ledge.incarnation().value != m->round)
+            n.asked.clear();  // raised: all are asked again
           if (!woken) return;
           n.heard.clear();
           n.asked.clear();
@@ -729,23 +739,25 @@
   }
 
   void answer(State& state, Node& n, const Message& m) {
-    const auto out = n.ledge.ask(m.ask);
+    const auto out = n.ledge.handle(m.ask);
     Message back = m;
     back.kind = m.kind == Message::Kind::ask ? Message::Kind::answer : Message::Kind::told;
     back.reply = out.reply;
-    back.ask.value = Value{};
+    back.ask.value = RegisterValue{};
     const bool heard = m.kind == Message::Kind::rejoin || !state.proposers[m.who]->done;
     // A vote counts once it is on the disk: what a crash takes away was never given.
-    if (m.ask.kind == Ask::Kind::accept && out.reply.ok) {
+    if (m.ask.kind == RegisterRequest::Kind::accept && out.reply.granted) {
       if (!syncs_ || fault("unsynced")) {
         hold(state, m.voter, n);
       } else {
         n.votes.push_back(n.ledge);
       }
     }
-    if (!n.ledge.awake() || (!out.sync && !n.dirty && n.unsynced.empty()) || fault("unsynced")) {
+    if (!n.ledge.recovered() || (!out.syncBeforeSend && !n.dirty && n.unsynced.empty()) ||
+        fault("unsynced")) {
       n.dirty = n.dirty || fault("unsynced");
-      const bool rests = !n.ledge.awake() || (n.disk && n.disk->save().head == n.ledge.save().head);
+      const bool rests = !n.ledge.recovered() ||
+                         (n.disk && n.disk->persistedState().head == n.ledge.persistedState().head);
       if (!rests && !fault("unsynced")) state.broken = "a reply doesn't rest on synced state";
       if (heard) put(state, std::move(back));
       return;
@@ -767,7 +779,7 @@
   // As the council does it.
   void boot(State& state, std::size_t i) {
     edit(state.nodes[i], [&](Node& n) {
-      n.known = Value{};
+      n.known = RegisterValue{};
       n.known.voters = first_;
       n.unsynced.clear();
       n.votes.clear();
@@ -775,16 +787,17 @@
       n.asked.clear();
       n.dirty = false;
       if (n.disk) {
-        n.ledge = *Ledge::restore(ids_[i], n.disk->save());
+        n.ledge = *Acceptor::restore(ids_[i], n.disk->persistedState());
         if (n.ledge.value().epoch > 0) {
           n.known.voters = n.ledge.value().voters;
-          n.known.before = n.ledge.value().before;
+          n.known.previousVoters = n.ledge.value().previousVoters;
           n.known.epoch = n.ledge.value().epoch;
         }
       } else {
         // Falling numbers: the order of lives must not rest on luck.
         const auto luck = 1000 - 10 * static_cast<std::uint64_t>(++n.wiped) + i + 1;
-        n.ledge = Ledge(ids_[i], cairn::laterLife(Life{}, luck), fault("forgetful"));
+        n.ledge =
+            Acceptor(ids_[i], consensus::nextIncarnation(Incarnation{}, luck), fault("forgetful"));
       }
     });
   }
@@ -793,16 +806,16 @@
 
   void hold(State& state, std::size_t i, const Node& n) { hold(state, i, n.ledge); }
 
-  void hold(State& state, std::size_t i, const Ledge& ledge) {
-    const Value value = ledge.value();
-    if (ledge.accepted().number == 0 || value.sequence == 0) return;
+  void hold(State& state, std::size_t i, const Acceptor& acceptor) {
+    const RegisterValue value = acceptor.value();
+    if (acceptor.acceptedBallot().number == 0 || value.sequence == 0) return;
     std::set<NodeId> have;
     edit(state.history, [&](History& h) {
-      auto& votes = h.accepts[{ledge.accepted(), value.stamp}];
+      auto& votes = h.accepts[{acceptor.acceptedBallot(), value.uniqueId}];
       // A woken one votes for what it has read only if it did so before, or promised nothing since.
-      const auto promised =
-          cairn::ballotFrom(nlohmann::json::parse(ledge.save().head).at("promised"));
-      if (promised == ledge.accepted()) votes.ever.insert(i);
+      const auto promised = consensus::ballotFromJson(
+          nlohmann::json::parse(acceptor.persistedState().head).at("promised"));
+      if (promised == acceptor.acceptedBallot()) votes.ever.insert(i);
       votes.wiped.erase(i);
       for (const auto node : votes.ever) {
         if (!votes.wiped.contains(node)) have.insert(ids_[node]);
@@ -811,22 +824,22 @@
     // Which sets count depends on how far the change of voters is, whatever the value says.
     const bool both = value.epoch == 1 || marks(value).ends_with("new ");
     if (value.epoch < 2 || both) {
-      if (!majority(first_, have)) return;
+      if (!hasMajority(first_, have)) return;
     }
-    if ((value.epoch > 0 || both) && !majority(next_, have)) return;
+    if ((value.epoch > 0 || both) && !hasMajority(next_, have)) return;
     choose(state, value);
   }
 
-  void report(State& state, const Value& value) {
+  void report(State& state, const RegisterValue& value) {
     choose(state, value);
     edit(state.history, [&](History& h) { h.reported = std::max(h.reported, value.sequence); });
   }
 
-  void choose(State& state, const Value& value) {
+  void choose(State& state, const RegisterValue& value) {
     if (value.sequence == 0) return;
     const auto& chosen = state.history->chosen;
     const auto same = chosen.find(value.sequence);
-    if (same != chosen.end() && same->second.stamp == value.stamp) return;
+    if (same != chosen.end() && same->second.uniqueId == value.uniqueId) return;
     for (const auto& [sequence, other] : chosen) {
       if (sequence == value.sequence) state.broken = "two values were chosen under one sequence";
       const bool older = sequence < value.sequence;
@@ -919,4 +932,4 @@
   for (const auto& step : found->steps) std::cout << "do " << step << "\n";
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/world_register.cpp
+++ b/tests/simulation/register_world.cpp
@@ -7,37 +7,37 @@
 #include <optional>
 #include <set>
 
+#include "consensus/register.hpp"
+#include "consensus/voter_set.hpp"
+#include "control/config_change.hpp"
 #include "runner.hpp"
-#include "version/orders.hpp"
-#include "version/register.hpp"
-#include "version/voters.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
-using cairn::Ask;
-using cairn::Climber;
-using cairn::History;
-using cairn::Ledge;
-using cairn::Order;
-using cairn::Reply;
-using cairn::Value;
+using config::ChangeHistory;
+using consensus::Acceptor;
+using consensus::Proposer;
+using consensus::RegisterReply;
+using consensus::RegisterRequest;
+using consensus::RegisterValue;
+using control::ConfigChange;
 
 namespace {
 
 struct Machine {
   NodeId id;
-  std::optional<Ledge> ledge;        // empty: the process is down
-  std::optional<Ledge::Saved> disk;  // what a power cut leaves
+  std::optional<Acceptor> ledge;                 // empty: the process is down
+  std::optional<Acceptor::PersistedState> disk;  // what a power cut leaves
   bool wiped = false;
   int life = 0;          // of the process; answers to an older one are lost
   double hungUntil = 0;  // disk
   bool full = false;
   double frozenUntil = 0;
-  Value known;
-  std::optional<Ledge::Saved> snapshot;
+  RegisterValue known;
+  std::optional<Acceptor::PersistedState> snapshot;
   double bootAt = -1;            // until it has caught up
   std::uint64_t bootBehind = 0;  // what had been acknowledged by then
-  cairn::Shelf shelf;
+  config::ConfigTextCache shelf;
   double ahead = -1;
   // What it knows of the others, where the voters are kept by duties.
   struct Heard {
@@ -65,7 +65,7 @@
   std::int64_t revision = 0;  // written or read
   std::uint64_t digest = 0;
   enum class End { open, ok, refused, unclear } end = End::open;
-  Value seen;
+  RegisterValue seen;
   std::function<void()> done;  // once it is known what is chosen
   std::function<void()> then;  // runs once it has ended
 };
@@ -102,8 +102,8 @@
     for (auto& m : machines_) {
       if (static_cast<int>(++started_) > running_) continue;
       m->known.voters = first_;
-      m->ledge.emplace(m->id, cairn::firstLife(clock_.random()), true);
-      m->disk = m->ledge->save();
+      m->ledge.emplace(m->id, consensus::firstIncarnation(clock_.random()), true);
+      m->disk = m->ledge->persistedState();
     }
   }
 
@@ -174,18 +174,18 @@
       refused += call->end == Call::End::refused ? 1 : 0;
       unclear += call->end == Call::End::unclear ? 1 : 0;
     }
-    double lives = 0;  // most that a voter keeps of one node
+    double incarnations = 0;  // most that a voter keeps of one node
     for (const auto& m : machines_) {
       if (!m->ledge) continue;
-      const auto head = nlohmann::json::parse(m->ledge->save().head);
+      const auto head = nlohmann::json::parse(m->ledge->persistedState().head);
       for (const auto& list : head.at("lives")) {
-        lives = std::max(lives, static_cast<double>(list.size()));
+        incarnations = std::max(incarnations, static_cast<double>(list.size()));
       }
     }
     double behind = 0;
     double awake = 0;
     for (const auto& m : machines_) behind += m->ledge && m->bootAt >= 0 ? 1 : 0;
-    for (const auto& m : machines_) awake += m->ledge && m->ledge->awake() ? 1 : 0;
+    for (const auto& m : machines_) awake += m->ledge && m->ledge->recovered() ? 1 : 0;
     out = {{"acked", acked},
            {"reads", reads},
            {"refused", refused},
@@ -194,7 +194,7 @@
            {"voters", static_cast<double>(last->seen.voters.size())},
            {"epoch", static_cast<double>(last->seen.epoch)},
            {"borne", static_cast<double>(borne_)},
-           {"lives", lives},
+           {"lives", incarnations},
            {"boots", boots_},
            {"behind", behind},
            {"catch_up_ms", slowest_},
@@ -238,7 +238,8 @@
         down(m, true, std::stod(w.at(4)));
         if (m.snapshot) {
           // A fault of its own: the promises since are forgotten, and nobody is asked.
-          m.disk = fault("unfenced") ? m.snapshot : Ledge::fenced(*m.snapshot, clock_.random());
+          m.disk =
+              fault("unfenced") ? m.snapshot : Acceptor::fencedState(*m.snapshot, clock_.random());
           m.wiped = false;
         }
       } else if (what == "hang") {
@@ -292,15 +293,15 @@
 
   void boot(Machine& m) {
     ++m.life;
-    m.known = Value{};
+    m.known = RegisterValue{};
     if (!duties()) m.known.voters = first_;
-    if (m.disk) m.ledge = Ledge::restore(m.id, *m.disk);
+    if (m.disk) m.ledge = Acceptor::restore(m.id, *m.disk);
     if (duties()) {
       if (m.ledge) {
         const auto& value = m.ledge->value();
         m.known.epoch = value.epoch;
         m.known.voters = value.epoch == 0 ? first_ : value.voters;
-        m.known.before = value.before;
+        m.known.previousVoters = value.previousVoters;
       }
       m.heard.clear();
       m.leaving = m.half = -1;
@@ -309,10 +310,11 @@
     }
     // A fault of its own: one that lost its disk votes as if nothing had been.
     if (!m.ledge) {
-      m.ledge.emplace(m.id, cairn::laterLife(Life{}, clock_.random()), fault("forgetful"));
+      m.ledge.emplace(m.id, consensus::nextIncarnation(Incarnation{}, clock_.random()),
+                      fault("forgetful"));
     }
-    m.shelf = cairn::Shelf();
-    keepOn(m.shelf, m.ledge->value());
+    m.shelf = config::ConfigTextCache();
+    consensus::cacheTexts(m.shelf, m.ledge->value());
     m.wiped = false;
     m.bootAt = clock_.ms();
     m.bootBehind = ackedSequence_;
@@ -320,7 +322,7 @@
   }
 
   void watchCatchUp(Machine& m) {
-    if (m.bootAt < 0 || !m.ledge->awake() || m.ledge->value().sequence < m.bootBehind) return;
+    if (m.bootAt < 0 || !m.ledge->recovered() || m.ledge->value().sequence < m.bootBehind) return;
     slowest_ = std::max(slowest_, clock_.ms() - m.bootAt);
     m.bootAt = -1;
   }
@@ -390,8 +392,9 @@
     auto& value = head["value"];
     if (!value.contains("h")) return text;
     const auto& h = value["h"];
-    const auto history = History::unpack(Revision{h["f"].get<std::int64_t>()},
-                                         h["s"].get<std::uint64_t>(), h["a"].get<std::string>());
+    const auto history =
+        ChangeHistory::unpack(Revision{h["f"].get<std::int64_t>()}, h["s"].get<std::uint64_t>(),
+                              h["a"].get<std::string>());
     constexpr std::size_t kBefore = 32;
     const auto& entries = history->entries();
     auto recent = nlohmann::json::array();
@@ -422,15 +425,15 @@
   std::shared_ptr<Call> startRead(Machine& m) {
     auto call = std::make_shared<Call>();
     call->read = true;
-    run(m, call, [](const Value&, Value&) { return Climber::Verdict{}; });
+    run(m, call, [](const RegisterValue&, RegisterValue&) { return Proposer::Decision{}; });
     return call;
   }
 
-  Order orderOf(const Sent& sent) const {
+  ConfigChange orderOf(const Sent& sent) const {
     const auto text = textOf(sent);
-    return {true, Revision{sent.base}, cairn::orderDigest(true, std::to_string(sent.base), text),
+    return {true, Revision{sent.base}, control::changeDigest(true, std::to_string(sent.base), text),
             std::make_shared<const nlohmann::json>(nlohmann::json{{"revision", sent.revision}}),
-            cairn::Signboard::of(text)};
+            config::ConfigText::create(text)};
   }
 
   std::shared_ptr<Call> startPut(Machine& m, const Sent& sent) {
@@ -439,16 +442,17 @@
     call->base = sent.base;
     call->revision = sent.revision;
     call->digest = order.digest;
-    cairn::OrderTerms terms;
+    control::ConfigChangeLimits terms;
     // A fault of its own: the last few orders are known, and whatever isn't known is refused.
     const bool forgets = fault("forget_orders");
     const bool hasty = fault("refuse_ahead");
-    terms.most = forgets ? 4 : static_cast<std::size_t>(number(s_, "history", History::kMost));
-    run(m, call, [order, terms, forgets, hasty](const Value& current, Value& next) {
-      auto verdict = decide(order, terms, current, next);
-      if ((forgets && verdict.error == ErrorKind::orderForgotten) ||
-          (hasty && verdict.error == ErrorKind::baseAhead)) {
-        verdict.error = ErrorKind::otherVersion;
+    terms.maxHistoryEntries =
+        forgets ? 4 : static_cast<std::size_t>(number(s_, "history", ChangeHistory::kMaxEntries));
+    run(m, call, [order, terms, forgets, hasty](const RegisterValue& current, RegisterValue& next) {
+      auto verdict = control::decideChange(order, terms, current, next);
+      if ((forgets && verdict.error == ErrorKind::changeHistoryTruncated) ||
+          (hasty && verdict.error == ErrorKind::baseNotYetCommitted)) {
+        verdict.error = ErrorKind::versionConflict;
       }
       return verdict;
     });
@@ -458,89 +462,92 @@
   void startVoters(Machine& m, const std::vector<NodeId>& set) {
     auto call = std::make_shared<Call>();
     call->read = true;
-    run(m, call, [set](const Value& current, Value& next) {
-      Climber::Verdict verdict;
+    run(m, call, [set](const RegisterValue& current, RegisterValue& next) {
+      Proposer::Decision verdict;
       // Said again when done already, or out of turn: nothing to do.
-      if (current.before.empty() == set.empty() || current.voters == set) return verdict;
-      verdict.kind = Climber::Verdict::Kind::put;
+      if (current.previousVoters.empty() == set.empty() || current.voters == set) return verdict;
+      verdict.kind = Proposer::Decision::Kind::write;
       next.epoch = current.epoch + 1;
-      next.before = current.before.empty() ? current.voters : std::vector<NodeId>{};
-      if (current.before.empty()) next.voters = set;
+      next.previousVoters = current.previousVoters.empty() ? current.voters : std::vector<NodeId>{};
+      if (current.previousVoters.empty()) next.voters = set;
       return verdict;
     });
   }
 
-  void run(Machine& m, std::shared_ptr<Call> call, Climber::Change change,
+  void run(Machine& m, std::shared_ptr<Call> call, Proposer::ChangeFunction change,
            std::function<void()> done = {}) {
     if (!m.ledge) return;
     call->done = std::move(done);
     call->began = clock_.ms();
     calls_.push_back(call);
-    auto climber = std::make_shared<Climber>(m.id, m.ledge->basisOf(m.known), std::move(change),
-                                             clock_.random() >> 1);
-    if (number(s_, "news", 0) > 0) climber->holds(nullptr, m.shelf.newestHistory());
-    carry(m, call, climber, climber->start(clock_.now(), std::chrono::milliseconds(900)));
+    auto proposer = std::make_shared<Proposer>(m.id, m.ledge->proposalBasis(m.known),
+                                               std::move(change), clock_.random() >> 1);
+    if (number(s_, "news", 0) > 0) proposer->offerCached(nullptr, m.shelf.newestHistory());
+    carry(m, call, proposer, proposer->start(clock_.now(), std::chrono::milliseconds(900)));
   }
 
-  void carry(Machine& m, const std::shared_ptr<Call>& call, const std::shared_ptr<Climber>& climber,
-             const std::vector<Climber::Send>& sends) {
-    const int life = m.life;
+  void carry(Machine& m, const std::shared_ptr<Call>& call,
+             const std::shared_ptr<Proposer>& proposer,
+             const std::vector<Proposer::OutgoingRequest>& sends) {
+    const int incarnation = m.life;
     for (const auto& send : sends) {
-      const auto sent = toJson(send.ask, &m.shelf).dump();
+      const auto sent = toJson(send.request, &m.shelf).dump();
       sentBytes_ += static_cast<double>(sent.size());
-      deliver(m.id, send.to, [this, &m, call, climber, send, sent, life] {
-        auto& voter = machine(send.to.str());
-        answer(voter, sent, [this, &m, &voter, call, climber, send, life](Reply r) {
-          const bool spare = send.ask.kind == Ask::Kind::prepare;
-          const auto text = toJson(r, readerOf(send.ask), &voter.shelf, spare).dump();
+      deliver(m.id, send.recipient, [this, &m, call, proposer, send, sent, incarnation] {
+        auto& voter = machine(send.recipient.str());
+        answer(voter, sent, [this, &m, &voter, call, proposer, send, incarnation](RegisterReply r) {
+          const bool spare = send.request.kind == RegisterRequest::Kind::prepare;
+          const auto text =
+              toJson(r, consensus::receiverStateOf(send.request), &voter.shelf, spare).dump();
           sentBytes_ += static_cast<double>(text.size());
-          deliver(send.to, m.id, [this, &m, call, climber, send, life, text] {
-            if (m.life != life || climber->result()) return;
+          deliver(send.recipient, m.id, [this, &m, call, proposer, send, incarnation, text] {
+            if (m.life != incarnation || proposer->result()) return;
             // Messages cross the wire as text: what JSON drops must not be missed.
-            climber->putOn(m.shelf);
-            Reply reply;
+            proposer->addTextsTo(m.shelf);
+            RegisterReply reply;
             try {
-              reply = cairn::replyFrom(nlohmann::json::parse(text), &m.shelf);
+              reply = consensus::replyFromJson(nlohmann::json::parse(text), &m.shelf);
             } catch (const std::exception&) {
               return;  // the text that it rests on has gone from
                        // the shelf since
             }
-            keepOn(m.shelf, reply.value);
-            carry(m, call, climber, climber->reply(send.to, send.round, reply, clock_.now()));
+            consensus::cacheTexts(m.shelf, reply.value);
+            carry(m, call, proposer,
+                  proposer->handleReply(send.recipient, send.round, reply, clock_.now()));
           });
         });
       });
     }
-    if (climber->result()) {
-      finish(m, *call, *climber->result());
+    if (proposer->result()) {
+      finish(m, *call, *proposer->result());
       return;
     }
-    const Instant wake = climber->wake();
-    clock_.at(wake, [this, &m, call, climber, life] {
-      if (m.life != life || climber->result()) return;
-      carry(m, call, climber, climber->tick(clock_.now()));
+    const TimePoint wake = proposer->nextWakeUp();
+    clock_.at(wake, [this, &m, call, proposer, incarnation] {
+      if (m.life != incarnation || proposer->result()) return;
+      carry(m, call, proposer, proposer->tick(clock_.now()));
     });
   }
 
-  void finish(Machine& m, Call& call, const Climber::Result& result) {
+  void finish(Machine& m, Call& call, const Proposer::Result& result) {
     if (call.ended >= 0) return;
     call.ended = clock_.ms();
-    if (!result.known) {
+    if (!result.valueKnown) {
       call.end = Call::End::unclear;
       if (const auto then = std::exchange(call.then, {})) then();
       return;
     }
-    call.seen = result.chosen;
-    const bool clear = answerFor(result.error).status < 500;
-    call.end = result.ok ? Call::End::ok : clear ? Call::End::refused : Call::End::unclear;
-    if (call.read) call.revision = result.chosen.configRevision.value;
+    call.seen = result.value;
+    const bool clear = responseFor(result.error).status < 500;
+    call.end = result.succeeded ? Call::End::ok : clear ? Call::End::refused : Call::End::unclear;
+    if (call.read) call.revision = result.value.configRevision.value;
     if (call.done) clock_.after(0, std::exchange(call.done, {}));
-    if (result.chosen.sequence > m.known.sequence) m.known = result.chosen;
-    keepOn(m.shelf, m.known);
+    if (result.value.sequence > m.known.sequence) m.known = result.value;
+    consensus::cacheTexts(m.shelf, m.known);
     m.ahead = -1;
     m.half = -1;
     if (call.end == Call::End::ok) {
-      ackedSequence_ = std::max(ackedSequence_, result.chosen.sequence);
+      ackedSequence_ = std::max(ackedSequence_, result.value.sequence);
     }
     news(m.known);
     if (call.end == Call::End::ok) newest_ = std::max(newest_, call.revision);
@@ -548,7 +555,7 @@
   }
 
   // What was chosen is told on, without its history.
-  void news(Value value) {
+  void news(RegisterValue value) {
     value.history = nullptr;
     for (const auto& owned : machines_) {
       if (number(s_, "news", 0) == 0 || !clock_.chance(number(s_, "news", 0))) continue;
@@ -556,7 +563,7 @@
         if (!m.ledge || m.frozenUntil > clock_.ms()) return;
         if (value.sequence <= m.known.sequence) return;
         m.known = value;
-        keepOn(m.shelf, m.known);
+        consensus::cacheTexts(m.shelf, m.known);
       });
     }
   }
@@ -587,35 +594,37 @@
   }
 
   // The voter's side with its disk: the reply waits for the sync of what it rests on.
-  void answer(Machine& m, const std::string& sent, std::function<void(Reply)> back) {
+  void answer(Machine& m, const std::string& sent, std::function<void(RegisterReply)> back) {
     if (!m.ledge) return;
-    Ask ask;
+    RegisterRequest ask;
     try {
-      ask = cairn::askFrom(nlohmann::json::parse(sent), &m.shelf);
+      ask = consensus::requestFromJson(nlohmann::json::parse(sent), &m.shelf);
     } catch (const std::exception&) {
       return;  // it was wiped since it said which text it has: no answer
     }
     // A fault of its own: nothing is told of lives.
-    auto out = m.ledge->ask(ask);
-    if (fault("untold")) out.reply.lives.clear();
-    keepOn(m.shelf, m.ledge->value());
-    const int life = m.life;
-    const auto state = m.ledge->save();
+    auto out = m.ledge->handle(ask);
+    if (fault("untold")) out.reply.incarnations.clear();
+    consensus::cacheTexts(m.shelf, m.ledge->value());
+    const int incarnation = m.life;
+    const auto state = m.ledge->persistedState();
     const auto order = ++m.saves;
     const double hung = std::max(0.0, m.hungUntil - clock_.ms());
-    clock_.after(hung + clock_.uniform(0.5, 2), [this, &m, life, state, order, out, back, ask] {
-      if (m.life != life || m.full) return;
-      // A fault of its own: the reply doesn't wait for the disk, which gets it
-      // now and then. The disk takes them in order: a save that is overtaken is
-      // part of the one before it.
-      const bool newer = order > m.savedTo;
-      if (newer && (!fault("unsynced") || clock_.chance(0.1))) {
-        m.disk = state;
-        m.savedTo = order;
-      }
-      if (duties() && ask.kind == Ask::Kind::accept && out.reply.ok) accepted(m, ask);
-      back(out.reply);
-    });
+    clock_.after(hung + clock_.uniform(0.5, 2),
+                 [this, &m, incarnation, state, order, out, back, ask] {
+                   if (m.life != incarnation || m.full) return;
+                   // A fault of its own: the reply doesn't wait for the disk, which gets it
+                   // now and then. The disk takes them in order: a save that is overtaken is
+                   // part of the one before it.
+                   const bool newer = order > m.savedTo;
+                   if (newer && (!fault("unsynced") || clock_.chance(0.1))) {
+                     m.disk = state;
+                     m.savedTo = order;
+                   }
+                   if (duties() && ask.kind == RegisterRequest::Kind::accept && out.reply.granted)
+                     accepted(m, ask);
+                   back(out.reply);
+                 });
   }
 
   // Voters that sleep ask the others; values left half done are finished.
@@ -626,18 +635,20 @@
       if (duties()) keepVoters(m);
       if (!m.ledge) continue;  // it has left
       watchCatchUp(m);
-      if (!m.ledge->awake()) {
+      if (!m.ledge->recovered()) {
         for (const auto& voter : m.known.voters) {
           if (voter == m.id) continue;
-          const auto ask = m.ledge->rejoinAsk();
-          const int life = m.life;
-          deliver(m.id, voter, [this, &m, voter, ask, life] {
-            answer(machine(voter.str()), toJson(*ask).dump(), [this, &m, voter, life](Reply r) {
-              deliver(voter, m.id, [&m, voter, life, r] {
-                if (m.life != life || !m.ledge) return;
-                if (m.ledge->rejoinReply(voter, r, m.known)) keepOn(m.shelf, m.ledge->value());
-              });
-            });
+          const auto ask = m.ledge->rejoinRequest();
+          const int incarnation = m.life;
+          deliver(m.id, voter, [this, &m, voter, ask, incarnation] {
+            answer(machine(voter.str()), toJson(*ask).dump(),
+                   [this, &m, voter, incarnation](RegisterReply r) {
+                     deliver(voter, m.id, [&m, voter, incarnation, r] {
+                       if (m.life != incarnation || !m.ledge) return;
+                       if (m.ledge->handleRejoinReply(voter, r, m.known))
+                         consensus::cacheTexts(m.shelf, m.ledge->value());
+                     });
+                   });
           });
         }
       } else if (m.ledge->value().sequence > m.known.sequence) {
@@ -663,7 +674,7 @@
       for (auto& to : machines_) {
         if (to == from) continue;
         deliver(from->id, to->id,
-                [this, id = from->id, to = to.get(), awake = from->ledge->awake(),
+                [this, id = from->id, to = to.get(), awake = from->ledge->recovered(),
                  leaving = from->leaving >= 0, value = from->known] {
                   if (!to->ledge) return;
                   auto& heard = to->heard[id];
@@ -673,7 +684,7 @@
                   heard.leaving = leaving;
                   if (value.sequence > to->known.sequence || to->known.voters.empty()) {
                     to->known = value;
-                    to->shelf.put(value.config);
+                    to->shelf.add(value.config);
                     to->half = to->ahead = -1;
                   }
                 });
@@ -682,47 +693,49 @@
     clock_.after(500, [this] { beat(); });
   }
 
-  cairn::VoterView viewOf(const Machine& m) {
-    cairn::VoterView view{m.known.voters, {}, tolerance_};
+  consensus::VoterSetView viewOf(const Machine& m) {
+    consensus::VoterSetView view{m.known.voters, {}, tolerance_};
     const double now = clock_.ms();
     const auto span = [&](double since) { return fromMillis(now - since); };
     std::set<NodeId> all(m.known.voters.begin(), m.known.voters.end());
     for (const auto& [id, heard] : m.heard) all.insert(id);
     all.insert(m.id);
     for (const auto& id : all) {
-      cairn::CoreView seen;
+      consensus::ControlNodeView seen;
       seen.id = id;
       const auto it = m.heard.find(id);
       if (id == m.id) {
-        seen.known = Span::max();
-        seen.heard = true;
-        seen.awake = m.ledge->awake();
-        seen.leaving = m.leaving >= 0;
+        seen.knownFor = Duration::max();
+        seen.heardRecently = true;
+        seen.recovered = m.ledge->recovered();
+        seen.shuttingDown = m.leaving >= 0;
       } else if (it == m.heard.end()) {
-        seen.silent = span(m.listening);
+        seen.silentFor = span(m.listening);
       } else {
-        seen.known = span(it->second.known);
-        seen.silent = span(std::max(it->second.at, m.listening));
-        seen.heard = span(it->second.at) <= cairn::kVoterGone;
-        seen.awake = it->second.awake;
-        seen.leaving = it->second.leaving;
+        seen.knownFor = span(it->second.known);
+        seen.silentFor = span(std::max(it->second.at, m.listening));
+        seen.heardRecently = span(it->second.at) <= consensus::kVoterUnresponsiveAfter;
+        seen.recovered = it->second.awake;
+        seen.shuttingDown = it->second.leaving;
       }
-      view.machines.push_back(seen);
+      view.nodes.push_back(seen);
     }
     return view;
   }
 
   // The rule that is gone: newcomers are added first, and a dead one taken out
   // after ten seconds.
-  static std::optional<std::vector<NodeId>> oldRule(const cairn::VoterView& view) {
+  static std::optional<std::vector<NodeId>> oldRule(const consensus::VoterSetView& view) {
     auto next = view.voters;
-    for (const auto& seen : view.machines) {
-      if (!seen.heard || seen.leaving || seen.known < cairn::kNewcomerSettled) continue;
+    for (const auto& seen : view.nodes) {
+      if (!seen.heardRecently || seen.shuttingDown ||
+          seen.knownFor < consensus::kNewNodeSettledAfter)
+        continue;
       if (std::find(next.begin(), next.end(), seen.id) == next.end()) next.push_back(seen.id);
     }
-    for (const auto& seen : view.machines) {
-      if (next != view.voters || next.size() <= cairn::fewestVoters(view.tolerance)) break;
-      if (seen.silent > cairn::kVoterLost) std::erase(next, seen.id);
+    for (const auto& seen : view.nodes) {
+      if (next != view.voters || next.size() <= consensus::minVoters(view.faultTolerance)) break;
+      if (seen.silentFor > consensus::kVoterLostAfter) std::erase(next, seen.id);
     }
     std::sort(next.begin(), next.end());
     return next == view.voters ? std::nullopt : std::make_optional(next);
@@ -733,22 +746,22 @@
     if (now - m.tickedAt > 1000) m.listening = now;
     m.tickedAt = now;
     const auto view = viewOf(m);
-    const auto next = fault("oldrule") ? oldRule(view) : cairn::nextVoters(view);
+    const auto next = fault("oldrule") ? oldRule(view) : consensus::nextVoterSet(view);
     if (m.leaving >= 0) {
-      const bool needed = !m.known.before.empty() ||
+      const bool needed = !m.known.previousVoters.empty() ||
                           (next && std::find(next->begin(), next->end(), m.id) == next->end());
       if (!needed || fault("oldrule") || now - m.leaving > 3000) {
         down(m, m.downFor == 0, m.downFor == 0 ? 1e9 : m.downFor);
         return;
       }
     }
-    if (!m.ledge->awake() || m.changing || m.known.voters.empty()) return;
-    if (!m.known.before.empty()) {
+    if (!m.ledge->recovered() || m.changing || m.known.voters.empty()) return;
+    if (!m.known.previousVoters.empty()) {
       if (m.half < 0) m.half = now;
       const auto& voters = m.known.voters;
       const auto place = std::find(voters.begin(), voters.end(), m.id) - voters.begin();
       if (now - m.half > 250 + 40.0 * static_cast<double>(place)) change(m, {});
-    } else if (m.leaving < 0 && next && cairn::holdsDuty(view, m.id)) {
+    } else if (m.leaving < 0 && next && consensus::ownsVoterSetRole(view, m.id)) {
       change(m, *next);
     }
   }
@@ -757,26 +770,28 @@
     m.changing = true;
     auto call = std::make_shared<Call>();
     call->read = true;
-    const int life = m.life;
-    clock_.after(1000, [&m, life] {
-      if (m.life == life) m.changing = false;
+    const int incarnation = m.life;
+    clock_.after(1000, [&m, incarnation] {
+      if (m.life == incarnation) m.changing = false;
     });
     run(
         m, call,
-        [this, epoch = m.known.epoch, voters](const Value& current, Value& next) {
-          Climber::Verdict verdict;
-          if (current.epoch != epoch || current.before.empty() == voters.empty()) return verdict;
-          verdict.kind = Climber::Verdict::Kind::put;
+        [this, epoch = m.known.epoch, voters](const RegisterValue& current, RegisterValue& next) {
+          Proposer::Decision verdict;
+          if (current.epoch != epoch || current.previousVoters.empty() == voters.empty())
+            return verdict;
+          verdict.kind = Proposer::Decision::Kind::write;
           next.epoch = current.epoch + 1;
-          next.before = current.before.empty() ? current.voters : std::vector<NodeId>{};
+          next.previousVoters =
+              current.previousVoters.empty() ? current.voters : std::vector<NodeId>{};
           // A fault of its own: the new voters take over without the old ones.
-          if (fault("onemajority")) next.before.clear();
+          if (fault("onemajority")) next.previousVoters.clear();
           if (!voters.empty()) next.voters = voters;
           return verdict;
         },
         [&m, this] {
           m.changing = false;
-          if (!m.known.before.empty() && m.ledge && !m.changing) change(m, {});
+          if (!m.known.previousVoters.empty() && m.ledge && !m.changing) change(m, {});
         });
   }
 
@@ -794,9 +809,9 @@
     }
   }
 
-  static bool chosenBy(const Value& value, const std::set<NodeId>& have) {
-    return cairn::majority(value.voters, have) &&
-           (value.before.empty() || cairn::majority(value.before, have));
+  static bool chosenBy(const RegisterValue& value, const std::set<NodeId>& have) {
+    return consensus::hasMajority(value.voters, have) &&
+           (value.previousVoters.empty() || consensus::hasMajority(value.previousVoters, have));
   }
 
   // Does each majority of one set meet each of the other?
@@ -811,29 +826,29 @@
     return least(a) + least(b) > common;
   }
 
-  static bool quorumsMeet(const Value& a, const Value& b) {
-    for (const auto* x : {&a.voters, &a.before}) {
-      for (const auto* y : {&b.voters, &b.before}) {
+  static bool quorumsMeet(const RegisterValue& a, const RegisterValue& b) {
+    for (const auto* x : {&a.voters, &a.previousVoters}) {
+      for (const auto* y : {&b.voters, &b.previousVoters}) {
         if (!x->empty() && !y->empty() && meet(*x, *y)) return true;
       }
     }
     return false;
   }
 
-  void accepted(const Machine& m, const Ask& ask) {
+  void accepted(const Machine& m, const RegisterRequest& ask) {
     auto& [value, have] = acceptances_[ask.ballot];
     value = ask.value;
     have.insert(m.id);
     if (!chosenBy(value, have)) return;
     const auto [it, fresh] = chosen_.try_emplace(value.sequence, value);
-    if (it->second.stamp != value.stamp) problem("two values chosen under one sequence");
+    if (it->second.uniqueId != value.uniqueId) problem("two values chosen under one sequence");
     if (fresh && value.sequence > 1) {
       const auto before = chosen_.find(value.sequence - 1);
       if (before != chosen_.end() && !quorumsMeet(before->second, value)) {
         problem("two quorums of adjacent sets need not meet");
       }
     }
-    const std::size_t fewest = cairn::fewestVoters(tolerance_);
+    const std::size_t fewest = consensus::minVoters(tolerance_);
     grown_ = grown_ || value.voters.size() >= fewest;
     if (grown_ && value.voters.size() < fewest) problem("fewer than 2f + 1 voters");
     held();
@@ -844,14 +859,14 @@
   void held() {
     if (chosen_.empty()) return;
     const auto& newest = chosen_.rbegin()->second;
-    for (const auto* set : {&newest.voters, &newest.before}) {
+    for (const auto* set : {&newest.voters, &newest.previousVoters}) {
       if (set->empty()) continue;
       std::size_t holders = 0;
       std::size_t lost = 0;
       for (const auto& id : *set) {
         const auto& m = machine(id.str());
-        const auto saved = m.disk ? Ledge::restore(id, *m.disk) : std::nullopt;
-        if (!saved || !saved->awake()) {
+        const auto saved = m.disk ? Acceptor::restore(id, *m.disk) : std::nullopt;
+        if (!saved || !saved->recovered()) {
           ++lost;
         } else if (saved->value().sequence >= newest.sequence) {
           ++holders;
@@ -958,10 +973,10 @@
   std::shared_ptr<Call> append(Machine& m) {
     auto call = std::make_shared<Call>();
     Sent sent{0, 0, "a" + std::to_string(++names_)};
-    run(m, call, [this, call, sent](const Value& current, Value& next) mutable {
+    run(m, call, [this, call, sent](const RegisterValue& current, RegisterValue& next) mutable {
       if (call->digest != 0 && current.history &&
-          current.history->holds({Revision{call->revision}, call->digest})) {
-        return Climber::Verdict{};
+          current.history->contains({Revision{call->revision}, call->digest})) {
+        return Proposer::Decision{};
       }
       sent.base = current.configRevision.value;
       sent.revision = sent.base + 1;
@@ -969,7 +984,7 @@
       call->base = sent.base;
       call->revision = sent.revision;
       call->digest = order.digest;
-      return decide(order, {}, current, next);
+      return control::decideChange(order, {}, current, next);
     });
     return call;
   }
@@ -996,7 +1011,7 @@
         if (a->read || a->end != Call::End::ok) continue;
         const auto& history = b->seen.history;
         const bool there = history && (history->floor().value >= a->revision ||
-                                       history->holds({Revision{a->revision}, a->digest}));
+                                       history->contains({Revision{a->revision}, a->digest}));
         require(there, "an acknowledged change is gone: " + std::to_string(a->revision));
       }
     }
@@ -1004,13 +1019,14 @@
     for (const auto& call : calls_) {
       if (call->end != Call::End::ok && call->end != Call::End::refused) continue;
       auto& stamp = chain[call->seen.sequence];
-      require(stamp.empty() || stamp == call->seen.stamp, "two values chosen under one sequence");
-      stamp = call->seen.stamp;
+      require(stamp.empty() || stamp == call->seen.uniqueId,
+              "two values chosen under one sequence");
+      stamp = call->seen.uniqueId;
     }
     // What was ever in force, by revision: one order each, and each on the one before.
     for (const auto& call : calls_) {
       if (!call->seen.history) continue;
-      const History::Entry* before = nullptr;
+      const ChangeHistory::Entry* before = nullptr;
       for (const auto& entry : call->seen.history->entries()) {
         const auto [made, fresh] = inForce_.emplace(entry.revision.value, entry.digest);
         require(made->second == entry.digest,
@@ -1051,8 +1067,8 @@
   int running_ = 0;
   std::size_t started_ = 0;
   std::size_t tolerance_ = 0;
-  std::map<cairn::Ballot, std::pair<Value, std::set<NodeId>>> acceptances_;
-  std::map<std::uint64_t, Value> chosen_;  // by sequence
+  std::map<consensus::Ballot, std::pair<RegisterValue, std::set<NodeId>>> acceptances_;
+  std::map<std::uint64_t, RegisterValue> chosen_;  // by sequence
   std::vector<std::string> problems_;
   bool grown_ = false;
   int borne_ = 0;
@@ -1065,4 +1081,4 @@
   RegisterWorld(scenario, seed).play(out);
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/runner.cpp
+++ b/tests/simulation/scenario_runner.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <iostream>
 
-namespace merlin::test {
+namespace merlingauge::test {
 
 namespace {
 Scenario load(const std::string& path) {
@@ -116,7 +116,7 @@
   return static_cast<int>(to - from + 1);
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
 
 int main(int argc, char** argv) {
   if (argc < 2) {
@@ -126,10 +126,10 @@
   try {
     std::vector<std::string> changes(argv + 2, argv + argc);
     const bool show = std::erase(changes, "show") > 0;
-    const int runs = merlin::test::play(argv[1], show, changes);
+    const int runs = merlingauge::test::play(argv[1], show, changes);
     std::cout << argv[1] << ": kept in " << runs << " run(s)\n";
     return 0;
-  } catch (const merlin::test::Broken& broken) {
+  } catch (const merlingauge::test::Broken& broken) {
     std::cerr << argv[1] << ": " << broken.what << "\n";
   } catch (const std::exception& problem) {
     std::cerr << argv[1] << ": " << problem.what() << "\n";
--- a/tests/runner.hpp
+++ b/tests/simulation/scenario_runner.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "units.hpp"
+#include "base/time.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
 struct Line {
   int number = 0;
@@ -36,14 +36,14 @@
 class Clock {
  public:
   explicit Clock(std::uint64_t seed) : random(seed) {}
-  [[nodiscard]] Instant now() const { return now_; }
+  [[nodiscard]] TimePoint now() const { return now_; }
   [[nodiscard]] double ms() const { return toMillis(now_.time_since_epoch()); }
-  void at(Instant when, std::function<void()> work) {
+  void at(TimePoint when, std::function<void()> work) {
     events_.emplace(std::make_pair(std::max(when, now_), next_++), std::move(work));
   }
   void after(double ms, std::function<void()> work) { at(now_ + fromMillis(ms), std::move(work)); }
   void runUntil(double endMs) {
-    const Instant end = Instant(fromMillis(endMs));
+    const TimePoint end = TimePoint(fromMillis(endMs));
     while (!events_.empty() && events_.begin()->first.first <= end) {
       auto first = events_.extract(events_.begin());
       now_ = first.key().first;
@@ -58,9 +58,9 @@
   std::mt19937_64 random;
 
  private:
-  Instant now_{};
+  TimePoint now_{};
   std::uint64_t next_ = 0;
-  std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> events_;
+  std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
 };
 
 // `name value` pairs of a scenario, with a default.
@@ -78,4 +78,4 @@
 void playExplore(const Scenario& scenario, std::map<std::string, double>& out);
 void playText(const Scenario& scenario);
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
--- a/tests/world_disk.cpp
+++ b/tests/simulation/storage_world.cpp
@@ -8,18 +8,18 @@
 #include <sstream>
 #include <thread>
 
-#include "process/bell.hpp"
-#include "process/cellar.hpp"
-#include "process/snapshot.hpp"
+#include "consensus/register.hpp"
+#include "event/event_loop.hpp"
 #include "runner.hpp"
-#include "version/register.hpp"
+#include "storage/durable_store.hpp"
+#include "storage/state_snapshot.hpp"
 
-namespace merlin::test {
+namespace merlingauge::test {
 
 namespace {
 
 namespace fs = std::filesystem;
-using hut::Cellar;
+using storage::DurableStore;
 using Files = std::map<std::string, std::string>;
 constexpr std::size_t kPage = 4096;
 constexpr std::size_t kMetas = 2 * kPage;
@@ -51,26 +51,27 @@
     for (int n = 1; n <= saves; ++n) {
       restore(before);
       {
-        Cellar cellar(bell_, folder_.string(), kBytes);
-        if (n > 1) require(cellar.load().has_value(), "what was saved can't be read");
-        require(cellar.write(record(n)), "a save fails: " + cellar.problem());
+        DurableStore store(bell_, folder_.string(), kBytes);
+        if (n > 1) require(store.load().has_value(), "what was saved can't be read");
+        require(store.commit(record(n)), "a save fails: " + store.error());
       }
       const Files after = take();
       for (int i = 0; i < losses; ++i) {
         bool whole = false;
         const Files left = lose(before, after, whole);
         restore(left);
-        Cellar cellar(bell_, folder_.string(), kBytes);
-        const auto loaded = cellar.load();
+        DurableStore store(bell_, folder_.string(), kBytes);
+        const auto loaded = store.load();
         // Whatever had been acknowledged is there; the save under way may go either way.
         if (n > 1 || whole) {
-          require(loaded.has_value(), "after save " + std::to_string(n) + ": " + cellar.problem());
+          require(loaded.has_value(), "after save " + std::to_string(n) + ": " + store.error());
         }
         if (loaded) {
           const int held = std::stoi(loaded->head);
           require(held == n || (held == n - 1 && !whole), "an older record has come back");
-          require(loaded->text == record(held).text->text(), "the text is not that of its record");
-          require(cellar.write(record(100)), "it can't be written again: " + cellar.problem());
+          require(loaded->configText == record(held).configText->text(),
+                  "the text is not that of its record");
+          require(store.commit(record(100)), "it can't be written again: " + store.error());
           ++found;
           kept += held == n ? 1 : 0;
         }
@@ -84,11 +85,12 @@
   }
 
  private:
-  Cellar::Record record(int n) {
+  DurableStore::Record record(int n) {
     // The text changes with every third record only.
     const auto k = static_cast<std::size_t>(n / 3);
-    return {std::to_string(n) + " " + std::string(100 + 13 * static_cast<std::size_t>(n), 'h'),
-            cairn::Signboard::of(std::string(9000 + 1000 * k, static_cast<char>('a' + k % 26)))};
+    return {
+        std::to_string(n) + " " + std::string(100 + 13 * static_cast<std::size_t>(n), 'h'),
+        config::ConfigText::create(std::string(9000 + 1000 * k, static_cast<char>('a' + k % 26)))};
   }
 
   // Thousands of changes: texts that grow and shrink, and heads saved between them. The file stays
@@ -102,22 +104,22 @@
     double highest = 0;
     double refused = 0;
     restore({});
-    auto cellar = std::make_unique<Cellar>(bell_, folder_.string(), map);
+    auto store = std::make_unique<DurableStore>(bell_, folder_.string(), map);
     for (int n = 1; n <= texts; ++n) {
-      const auto text = cairn::Signboard::of(
+      const auto text = config::ConfigText::create(
           std::to_string(n) +
           std::string(static_cast<std::size_t>(clock_.uniform(least, most)), 't'));
       for (int k = 0; k < heads; ++k) {
         const auto head = std::to_string(n) + "/" + std::to_string(k) +
                           std::string(static_cast<std::size_t>(clock_.uniform(200, 9000)), 'h');
-        refused += cellar->write({head, text}) ? 0 : 1;
+        refused += store->commit({head, text}) ? 0 : 1;
       }
       highest = std::max(highest, static_cast<double>(fs::file_size(folder_ / "data.mdb")));
       if (n % 50 != 0 && n != texts) continue;
       // The process ends and comes back: what it saved last is there.
-      cellar = std::make_unique<Cellar>(bell_, folder_.string(), map);
-      const auto loaded = cellar->load();
-      require(loaded && loaded->text == text->text(), "what was saved last can't be read");
+      store = std::make_unique<DurableStore>(bell_, folder_.string(), map);
+      const auto loaded = store->load();
+      require(loaded && loaded->configText == text->text(), "what was saved last can't be read");
     }
     out = {{"saves", static_cast<double>(texts) * heads},
            {"refused", refused},
@@ -125,55 +127,58 @@
   }
 
   // A voter's record as it is saved after `n` changes.
-  static Cellar::Record voter(int n) {
-    cairn::Ledge ledge(NodeId("n1"), Life{7}, true);
-    cairn::Ask ask;
-    ask.kind = cairn::Ask::Kind::accept;
-    ask.from = NodeId("n2");
+  static DurableStore::Record voter(int n) {
+    consensus::Acceptor acceptor(NodeId("n1"), Incarnation{7}, true);
+    consensus::RegisterRequest ask;
+    ask.kind = consensus::RegisterRequest::Kind::accept;
+    ask.sender = NodeId("n2");
     ask.ballot = {static_cast<std::uint64_t>(n), NodeId("n2#1")};
     ask.value.sequence = static_cast<std::uint64_t>(n);
-    ask.value.stamp = "s" + std::to_string(n);
+    ask.value.uniqueId = "s" + std::to_string(n);
     ask.value.configRevision = Revision{n};
-    ask.value.config = cairn::Signboard::of("{\"revision\":" + std::to_string(n) + ",\"x\":\"" +
-                                            std::string(5000 + n % 97 * 100, 'x') + "\"}");
+    ask.value.config =
+        config::ConfigText::create("{\"revision\":" + std::to_string(n) + ",\"x\":\"" +
+                                   std::string(5000 + n % 97 * 100, 'x') + "\"}");
     ask.value.voters = {NodeId("n1"), NodeId("n2"), NodeId("n3")};
-    require(ledge.ask(ask).reply.ok, "the record can't be made");
-    const auto saved = ledge.save();
-    return {saved.head, saved.text};
+    require(acceptor.handle(ask).reply.granted, "the record can't be made");
+    const auto saved = acceptor.persistedState();
+    return {saved.head, saved.configText};
   }
 
-  std::optional<cairn::Ledge> heldIn(const fs::path& data) {
-    Cellar cellar(bell_, (data / "register").string(), kBytes);
-    const auto loaded = cellar.load();
+  std::optional<consensus::Acceptor> heldIn(const fs::path& data) {
+    DurableStore store(bell_, (data / "register").string(), kBytes);
+    const auto loaded = store.load();
     if (!loaded) return std::nullopt;
-    return cairn::Ledge::restore(NodeId("n1"), {loaded->head, cairn::Signboard::of(loaded->text)});
+    return consensus::Acceptor::restore(
+        NodeId("n1"), {loaded->head, config::ConfigText::create(loaded->configText)});
   }
 
   // Saved while the voter goes on writing, put back, refused, and spoilt in many ways.
   void snapshots(std::map<std::string, double>& out) {
-    using End = hut::SnapshotDone::End;
+    using End = storage::SnapshotResult::Status;
     restore({});
     const auto data = folder_ / "data";
     const auto other = folder_ / "other";
     const auto file = (folder_ / "snapshot").string();
     fs::create_directories(data);
-    require(hut::saveSnapshot(file, data.string()).end == End::noInput, "nothing was saved there");
+    require(storage::saveSnapshot(file, data.string()).status == End::inputMissing,
+            "nothing was saved there");
     const int saves = static_cast<int>(number(s_, "saves", 10));
     {
-      Cellar cellar(bell_, (data / "register").string(), kBytes);
-      require(cellar.write(voter(1)), "a save fails");
+      DurableStore store(bell_, (data / "register").string(), kBytes);
+      require(store.commit(voter(1)), "a save fails");
       std::atomic<bool> more{true};
       std::thread writer([&] {
-        for (int n = 2; more; ++n) cellar.write(voter(n));
+        for (int n = 2; more; ++n) store.commit(voter(n));
       });
       int last = 0;
       for (int i = 0; i < saves; ++i) {
-        const auto done = hut::saveSnapshot(file, data.string());
-        const auto shown = hut::showSnapshot(file);
-        if (done.end != End::done || shown.end != End::done) more = false;
+        const auto done = storage::saveSnapshot(file, data.string());
+        const auto shown = storage::showSnapshot(file);
+        if (done.status != End::ok || shown.status != End::ok) more = false;
         if (!more) break;
         // The text is that of its head, or it would not have been read; and time goes forward.
-        const int n = nlohmann::json::parse(shown.text)["revision"].get<int>();
+        const int n = nlohmann::json::parse(shown.message)["revision"].get<int>();
         if (n < last) more = false;
         last = n;
       }
@@ -182,21 +187,24 @@
       require(whole, "a snapshot beside a writing process isn't whole");
     }
     const auto before = heldIn(data);
-    require(hut::saveSnapshot(file, data.string()).end == End::done, "a snapshot isn't saved");
-    require(hut::restoreSnapshot(file, data.string(), false).end == End::taken,
+    require(storage::saveSnapshot(file, data.string()).status == End::ok, "a snapshot isn't saved");
+    require(storage::restoreSnapshot(file, data.string(), false).status == End::directoryNotEmpty,
             "state that is there is written over");
-    require(heldIn(data)->accepted() == before->accepted(), "a refusal has changed something");
+    require(heldIn(data)->acceptedBallot() == before->acceptedBallot(),
+            "a refusal has changed something");
     for (const bool force : {false, true}) {
-      require(hut::restoreSnapshot(file, other.string(), force).end == End::done,
+      require(storage::restoreSnapshot(file, other.string(), force).status == End::ok,
               "a snapshot isn't put back");
       const auto back = heldIn(other);
-      require(back && back->value().stamp == before->value().stamp, "it holds something else");
-      require(!back->awake() && back->life() != before->life(), "it would vote at once");
+      require(back && back->value().uniqueId == before->value().uniqueId,
+              "it holds something else");
+      require(!back->recovered() && back->incarnation() != before->incarnation(),
+              "it would vote at once");
     }
     {
-      Cellar cellar(bell_, (other / "register").string(), kBytes);
-      cellar.start();
-      require(hut::restoreSnapshot(file, other.string(), true).end == End::busy,
+      DurableStore store(bell_, (other / "register").string(), kBytes);
+      store.start();
+      require(storage::restoreSnapshot(file, other.string(), true).status == End::directoryInUse,
               "it is put back below a running process");
     }
     spoil(file, out);
@@ -206,7 +214,7 @@
     std::ifstream in(file, std::ios::binary);
     const std::string good((std::istreambuf_iterator<char>(in)), {});
     std::string problem;
-    const auto record = hut::readSnapshot(good, problem);
+    const auto record = storage::decodeSnapshot(good, problem);
     require(record.has_value(), "a good snapshot is refused");
     const int mutations = static_cast<int>(number(s_, "mutations", 1000));
     double refused = 0;
@@ -214,29 +222,29 @@
     for (int i = 0; i < mutations; ++i) {
       auto bad = good;
       mutate(bad);
-      if (bad != good && !hut::readSnapshot(bad, problem)) ++refused;
+      if (bad != good && !storage::decodeSnapshot(bad, problem)) ++refused;
       // The same below a checksum that fits: refused, or something that can be put back.
       auto forged = *record;
       mutate(forged.head);
-      if (const auto again = hut::readSnapshot(hut::writeSnapshot(forged), problem)) {
-        const auto saved =
-            cairn::Ledge::fenced({again->head, cairn::Signboard::of(again->text)}, 3);
+      if (const auto again = storage::decodeSnapshot(storage::encodeSnapshot(forged), problem)) {
+        const auto saved = consensus::Acceptor::fencedState(
+            {again->head, config::ConfigText::create(again->configText)}, 3);
         require(saved.has_value(), "what was read can't be put back");
         ++read;
       }
     }
     std::ofstream(file + "-bad", std::ios::binary) << good.substr(0, good.size() / 2);
-    using End = hut::SnapshotDone::End;
-    require(hut::restoreSnapshot(file + "-bad", (folder_ / "fresh").string(), false).end ==
-                    End::badData &&
+    using End = storage::SnapshotResult::Status;
+    require(storage::restoreSnapshot(file + "-bad", (folder_ / "fresh").string(), false).status ==
+                    End::corrupt &&
                 !fs::exists(folder_ / "fresh" / "register"),
             "half a snapshot leaves something behind");
-    require(hut::restoreSnapshot(file + "-none", (folder_ / "fresh").string(), false).end ==
-                End::noInput,
+    require(storage::restoreSnapshot(file + "-none", (folder_ / "fresh").string(), false).status ==
+                End::inputMissing,
             "a file that isn't there");
-    require(hut::readSnapshot(R"({"format":"merlingauge snapshot","version":2})"
-                              "\n",
-                              problem) == std::nullopt &&
+    require(storage::decodeSnapshot(R"({"format":"merlingauge snapshot","version":2})"
+                                    "\n",
+                                    problem) == std::nullopt &&
                 problem.find("another version") != std::string::npos,
             "another version isn't named");
     out = {{"mutations", static_cast<double>(mutations)}, {"refused", refused}, {"read", read}};
@@ -338,16 +346,18 @@
     for (auto& [name, bytes] : bad) std::fill(bytes.begin(), bytes.end(), 'x');
     bad["seals"] = good.at("seals");
     restore(bad);
-    Cellar spoiled(bell_, folder_.string(), kBytes);
-    require(!spoiled.load() && spoiled.found() == Cellar::Found::damage, "damage isn't noticed");
+    DurableStore spoiled(bell_, folder_.string(), kBytes);
+    require(!spoiled.load() && spoiled.loadStatus() == DurableStore::LoadStatus::corrupt,
+            "damage isn't noticed");
     restore({});
-    Cellar empty(bell_, folder_.string(), kBytes);
-    require(!empty.load() && empty.found() == Cellar::Found::nothing, "empty looks damaged");
+    DurableStore empty(bell_, folder_.string(), kBytes);
+    require(!empty.load() && empty.loadStatus() == DurableStore::LoadStatus::empty,
+            "empty looks damaged");
   }
 
   const Scenario& s_;
   Clock clock_;
-  hut::Bell bell_;
+  event::EventLoop bell_;
   fs::path folder_;
 };
 
@@ -357,4 +367,4 @@
   DiskWorld(scenario, seed).play(out);
 }
 
-}  // namespace merlin::test
+}  // namespace merlingauge::test
