--- a/tests/http/client_exchange_test.cpp
+++ b/tests/http/client_exchange_test.cpp
@@ -1,5 +1,7 @@
 // Calls over real connections to a stand-in peer: what of a connection may be used again, and what
 // an end says of the request.
+#include "http/client_exchange.hpp"
+
 #include <Poco/Net/ServerSocket.h>
 
 #include <atomic>
@@ -7,7 +9,6 @@
 #include <thread>
 
 #include "event/event_loop.hpp"
-#include "http/client_exchange.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/change_history_test.cpp
+++ b/tests/loopback/change_history_test.cpp
@@ -1,7 +1,7 @@
 // The real program: five core nodes, one change after the other, and orders of long ago sent again
-// through any of them. `orderstest PROGRAM [CHANGES]`; with many changes it also prints what one
-// costs.
-#include "hosts.hpp"
+// through any of them. `change_history_test PROGRAM [CHANGES]`; with many changes it also prints
+// what one costs.
+#include "loopback/node_processes.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/config_storm_test.cpp
+++ b/tests/loopback/config_storm_test.cpp
@@ -7,7 +7,7 @@
 #include <cstring>
 #include <random>
 
-#include "hosts.hpp"
+#include "loopback/node_processes.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/fault_matrix_test.cpp
+++ b/tests/loopback/fault_matrix_test.cpp
@@ -1,8 +1,8 @@
 // Every step of a request x every fault: the real egress, ingress, edge, pools and framing between
 // scripted ends, on real sockets, each case on addresses of its own. The cases are enumerated; what
 // counts is who got what and how often a server saw a request, never how long anything took.
-//   faultstest CASES           all of them; there must be so many, and no violation
-//   faultstest --finds KIND WORD...   those whose names have all the words, on a mutant (see
+//   fault_matrix_test CASES           all of them; there must be so many, and no violation
+//   fault_matrix_test --finds KIND WORD...   those whose names have all the words, on a mutant (see
 //       CMakeLists.txt): a violation of this kind must be found
 #include <sys/resource.h>
 
@@ -13,7 +13,7 @@
 #include <mutex>
 #include <thread>
 
-#include "house.hpp"
+#include "loopback/proxy_path.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/gateway_test.cpp
+++ b/tests/loopback/gateway_test.cpp
@@ -2,7 +2,7 @@
 // directly, one of which stutters.
 #include <atomic>
 
-#include "hosts.hpp"
+#include "loopback/node_processes.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/hostile_input_test.cpp
+++ b/tests/loopback/hostile_input_test.cpp
@@ -2,7 +2,7 @@
 // the ways in of the real path, to whoever reads a server's answers, and to whoever reads what
 // nodes say to each other. Always a clear answer or a closed connection, never a byte to the wrong
 // caller, never a crash.
-//   hostiletest SEEDS
+//   hostile_input_test SEEDS
 #include <algorithm>
 #include <csignal>
 #include <iostream>
@@ -11,8 +11,8 @@
 
 #include "consensus/register.hpp"
 #include "gossip/gossip_service.hpp"
-#include "house.hpp"
-#include "runner.hpp"
+#include "loopback/proxy_path.hpp"
+#include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/mesh_test.cpp
+++ b/tests/loopback/mesh_test.cpp
@@ -3,7 +3,7 @@
 #include <atomic>
 #include <thread>
 
-#include "hosts.hpp"
+#include "loopback/node_processes.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/proxy_path.hpp
+++ b/tests/loopback/proxy_path.hpp
@@ -5,9 +5,9 @@
 #include <unistd.h>
 
 #include "config/route_table.hpp"
+#include "loopback/loopback_peers.hpp"
 #include "proxy/egress.hpp"
 #include "proxy/ingress.hpp"
-#include "stage.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/loopback/quorum_loss_test.cpp
+++ b/tests/loopback/quorum_loss_test.cpp
@@ -2,7 +2,7 @@
 // authority lasts. What lay in a socket meanwhile is not answered from what was known before.
 #include <thread>
 
-#include "hosts.hpp"
+#include "loopback/node_processes.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/scale_run.cpp
+++ b/tests/loopback/scale_run.cpp
@@ -10,8 +10,8 @@
 #include <cstring>
 #include <sstream>
 
-#include "hollow.hpp"
-#include "hosts.hpp"
+#include "loopback/lightweight_node.hpp"
+#include "loopback/node_processes.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -598,7 +598,7 @@
     return hollowMain(std::atoi(argv[2]), std::atoi(argv[3]), sizes);
   }
   if (argc < 2) {
-    std::cerr << "scale: usage: scaletest MERLINHUT [--NAME=NUMBER ...]\n";
+    std::cerr << "scale: usage: scale_run PROGRAM [--NAME=NUMBER ...]\n";
     return kWrongSize;
   }
   if (const auto problem = readSizes(argc, argv, sizes); !problem.empty()) {
--- a/tests/loopback/voter_replacement_test.cpp
+++ b/tests/loopback/voter_replacement_test.cpp
@@ -3,7 +3,7 @@
 // planned, and two more stop at once. Orders must go on being taken.
 #include <algorithm>
 
-#include "hosts.hpp"
+#include "loopback/node_processes.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/simulation/document_world.cpp
+++ b/tests/simulation/document_world.cpp
@@ -7,7 +7,7 @@
 #include "http/message_framing.hpp"
 #include "node/settings.hpp"
 #include "proxy/upstream_transport.hpp"
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/simulation/endpoint_subset_world.cpp
+++ b/tests/simulation/endpoint_subset_world.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "proxy/endpoint_subset.hpp"
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/simulation/gossip_world.cpp
+++ b/tests/simulation/gossip_world.cpp
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "gossip/gossip_service.hpp"
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/simulation/picker_world.cpp
+++ b/tests/simulation/picker_world.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 
 #include "proxy/d_adaptive_picker.hpp"
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/simulation/proxy_world.cpp
+++ b/tests/simulation/proxy_world.cpp
@@ -8,7 +8,7 @@
 #include "proxy/admission_queue.hpp"
 #include "proxy/attempt_planner.hpp"
 #include "proxy/load_tracker.hpp"
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/simulation/register_explorer.cpp
+++ b/tests/simulation/register_explorer.cpp
@@ -13,7 +13,7 @@
 
 #include "base/hash.hpp"
 #include "consensus/register.hpp"
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/simulation/register_world.cpp
+++ b/tests/simulation/register_world.cpp
@@ -10,7 +10,7 @@
 #include "consensus/register.hpp"
 #include "consensus/voter_set.hpp"
 #include "control/config_change.hpp"
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/simulation/scenario_runner.cpp
+++ b/tests/simulation/scenario_runner.cpp
@@ -1,4 +1,4 @@
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 
 #include <algorithm>
 #include <fstream>
@@ -73,7 +73,7 @@
   auto scenario = load(path);
   for (const auto& change : changes) replaceLine(scenario, change);
   const auto& world = scenario.lines[0].words[1];
-  if (world == "text") {
+  if (world == "documents") {
     playText(scenario);
     return 1;
   }
@@ -91,15 +91,15 @@
         playRegister(scenario, seed, measured);
       } else if (world == "explore") {
         playExplore(scenario, measured);
-      } else if (world == "path") {
+      } else if (world == "proxy") {
         playPath(scenario, seed, measured);
-      } else if (world == "news") {
+      } else if (world == "gossip") {
         playNews(scenario, seed, measured);
-      } else if (world == "range") {
+      } else if (world == "subset") {
         playRange(scenario, seed, measured);
-      } else if (world == "disk") {
+      } else if (world == "storage") {
         playDisk(scenario, seed, measured);
-      } else if (world == "bank") {
+      } else if (world == "picker") {
         playBank(scenario, seed, measured);
       } else {
         throw Broken{"no such world: " + world};
@@ -120,7 +120,7 @@
 
 int main(int argc, char** argv) {
   if (argc < 2) {
-    std::cerr << "usage: trailtest SCENARIO [show] [KEY=VALUE,...]...\n";
+    std::cerr << "usage: scenario_runner SCENARIO [show] [KEY=VALUE,...]...\n";
     return 2;
   }
   try {
--- a/tests/simulation/storage_world.cpp
+++ b/tests/simulation/storage_world.cpp
@@ -10,7 +10,7 @@
 
 #include "consensus/register.hpp"
 #include "event/event_loop.hpp"
-#include "runner.hpp"
+#include "simulation/scenario_runner.hpp"
 #include "storage/durable_store.hpp"
 #include "storage/state_snapshot.hpp"
 
