--- /dev/null
+++ b/src/control/acceptor_host.cpp
@@ -0,0 +1,117 @@
+#include "control/acceptor_host.hpp"
+
+#include <Poco/Logger.h>
+
+#include <string>
+#include <utility>
+
+namespace merlingauge::control {
+
+using consensus::Acceptor;
+using consensus::RegisterReply;
+using consensus::RegisterRequest;
+using consensus::StalenessBound;
+
+namespace {
+Poco::Logger& logger() { return Poco::Logger::get("control"); }
+}  // namespace
+
+AcceptorHost::AcceptorHost(event::EventLoop& loop, storage::DurableStore& store,
+                           StalenessBound& stalenessBound, config::ConfigTextCache& textCache,
+                           const RegisterServiceOptions& options, std::mt19937_64& random)
+    : loop_(loop),
+      store_(store),
+      stalenessBound_(stalenessBound),
+      textCache_(textCache),
+      self_(options.self),
+      acceptor_(loadAcceptor(options, random)) {
+  store_.start();
+}
+
+Acceptor AcceptorHost::loadAcceptor(const RegisterServiceOptions& options,
+                                    std::mt19937_64& random) {
+  if (auto stored = store_.load()) {
+    const Acceptor::PersistedState state{stored->head,
+                                         config::ConfigText::create(std::move(stored->configText))};
+    if (auto restored = Acceptor::restore(options.self, state)) {
+      const auto& value = restored->value();
+      logger().information("state read back, version " + std::to_string(value.revision().value));
+      consensus::cacheTexts(textCache_, value);
+      stalenessBound_.onAccepted(value.sequence, StalenessBound::kNever);
+      return *std::move(restored);
+    }
+  }
+  // Where something was stored and can't be read, promises may be among it.
+  const bool damaged = store_.loadStatus() != storage::DurableStore::LoadStatus::empty;
+  if (options.bootstrap && !damaged) {
+    logger().information("first start, empty state");
+    return Acceptor(options.self, consensus::firstIncarnation(random()), true);
+  }
+  logger().warning(std::string(damaged ? "damaged disk" : "empty disk") +
+                   ", the other voters are read before voting");
+  return Acceptor(options.self, consensus::nextIncarnation(Incarnation{}, random()), false);
+}
+
+bool AcceptorHost::exceedsDisk(const RegisterRequest& request) const {
+  return request.kind == RegisterRequest::Kind::accept && request.value.config &&
+         request.value.config->text().size() > store_.maxTextBytes();
+}
+
+void AcceptorHost::handleRequest(const RegisterRequest& request, ReplyCallback onReply) {
+  if (request.sender != self_ && request.kind != RegisterRequest::Kind::rejoin)
+    lastRivalRound_ = loop_.now();
+  if (exceedsDisk(request)) {
+    // Not accepted in memory either: nothing after it could be saved.
+    logger().error("a configuration of " + std::to_string(request.value.config->text().size()) +
+                   " bytes is more than the disk is given");
+    onReply(std::nullopt);
+    return;
+  }
+  auto response = acceptor_.handle(request);
+  if (request.kind == RegisterRequest::Kind::fetch) {
+    // The acceptor may hold a newer text by now than the one that the proposer was told of.
+    if (const auto text = textCache_.find(request.textId)) response.reply.value.config = text;
+  }
+  consensus::cacheTexts(textCache_, acceptor_.value());
+  stalenessBound_.onAccepted(acceptor_.value().sequence, event::EventLoop::readClock());
+  persistThenReply(response.syncBeforeSend, response.reply, std::move(onReply));
+}
+
+// A reply that changed nothing still waits for the writes before it: they may hold what it tells.
+void AcceptorHost::persistThenReply(bool mustSync, const RegisterReply& reply,
+                                    ReplyCallback onReply) {
+  auto onWritten = [this, reply, onReply = std::move(onReply)](bool written) {
+    if (!written) {
+      unsaved_ = true;
+      logger().error("the disk refuses: " + store_.error());
+      onReply(std::nullopt);
+      return;
+    }
+    onReply(reply);
+  };
+  if (mustSync || unsaved_) {
+    unsaved_ = false;
+    store_.save(persistedRecord(), std::move(onWritten));
+  } else {
+    store_.afterPendingWrites(std::move(onWritten));
+  }
+}
+
+storage::DurableStore::Record AcceptorHost::persistedRecord() const {
+  auto state = acceptor_.persistedState();
+  return {std::move(state.head), std::move(state.configText)};
+}
+
+bool AcceptorHost::handleRejoinReply(const NodeId& from, const RegisterReply& reply,
+                                     const consensus::RegisterValue& committed) {
+  if (!acceptor_.handleRejoinReply(from, reply, committed)) return false;
+  consensus::cacheTexts(textCache_, acceptor_.value());
+  stalenessBound_.onAccepted(acceptor_.value().sequence, StalenessBound::kNever);
+  logger().information("promises read from the other voters, voting again");
+  // Saved at once and not with the next reply: an acceptor that is no voter may not be asked for
+  // long, and would have to recover again after a restart.
+  store_.save(persistedRecord(), [this](bool written) { unsaved_ = unsaved_ || !written; });
+  return true;
+}
+
+}  // namespace merlingauge::control
--- /dev/null
+++ b/src/control/proposal_timing.cpp
@@ -0,0 +1,39 @@
+#include "control/proposal_timing.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "consensus/register.hpp"
+
+namespace merlingauge::control {
+
+namespace {
+// Processor time that a round costs, in milliseconds of one core: what is added to the timeout.
+constexpr double kRoundMillisOfOneCore = 10;
+// The most that is added, in milliseconds: the smallest machines still end a call in time.
+constexpr double kMaxAddedMillis = 500;
+// Guards the division against a machine of no processor time.
+constexpr double kMinCores = 0.001;
+// The limit of a background proposal on a fast machine: four rounds and their backoff.
+constexpr Duration kMinBackgroundTimeout = std::chrono::milliseconds(900);
+// Rounds that a background proposal on a slow machine has time for.
+constexpr int kBackgroundRounds = 10;
+// Two message delays between nodes: by then the voter before this one has been heard of.
+constexpr Duration kMinStagger = std::chrono::milliseconds(40);
+}  // namespace
+
+ProposalTiming::ProposalTiming(NodeId self, double cpuCores) : self_(std::move(self)) {
+  const double added = kRoundMillisOfOneCore / std::max(cpuCores, kMinCores);
+  roundTimeout_ = consensus::Proposer::kRoundTimeout + fromMillis(std::min(added, kMaxAddedMillis));
+}
+
+Duration ProposalTiming::backgroundProposalTimeout() const {
+  return std::max(kMinBackgroundTimeout, roundTimeout_ * kBackgroundRounds);
+}
+
+Duration ProposalTiming::staggerDelay(const std::vector<NodeId>& voters) const {
+  const auto position = std::find(voters.begin(), voters.end(), self_) - voters.begin();
+  return position * std::max(kMinStagger, roundTimeout_ / 2);
+}
+
+}  // namespace merlingauge::control
--- a/src/control/register_service.hpp
+++ b/src/control/register_service.hpp
@@ -1,99 +1,97 @@
-// council: this node's part in the register: it answers as a voter, climbs for changes and reads,
-// wakes a voter that lost its disk, finishes what others left half done, and keeps the voters.
+// register_service.hpp: this node's part in the replicated register.
 #pragma once
 
 #include <cstdint>
-#include <functional>
 #include <map>
 #include <memory>
+#include <nlohmann/json.hpp>
 #include <optional>
 #include <random>
-#include <set>
 #include <string>
-#include <vector>
 
+#include "base/time.hpp"
+#include "config/config_text.hpp"
 #include "consensus/register.hpp"
+#include "consensus/register_replica.hpp"
 #include "consensus/staleness_bound.hpp"
 #include "consensus/voter_set.hpp"
+#include "control/acceptor_host.hpp"
+#include "control/acceptor_recovery.hpp"
+#include "control/proposal_runner.hpp"
+#include "control/proposal_timing.hpp"
+#include "control/register_observer.hpp"
+#include "control/register_service_options.hpp"
+#include "control/value_repair.hpp"
+#include "control/voter_set_manager.hpp"
 #include "event/event_loop.hpp"
-#include "node/settings.hpp"
 #include "rpc/peer_rpc.hpp"
 #include "storage/durable_store.hpp"
 
 namespace merlingauge::control {
 
-class RegisterService {
+/// Owns the committed value and the parts that work on it: the acceptor with its recovery and
+/// repair (control nodes only), this node's proposals, and the changes of the voter set. Event-loop
+/// thread only; all references must outlive it.
+class RegisterService final : public consensus::RegisterReplica {
  public:
-  struct Dependencies {
-    event::EventLoop& loop;
-    rpc::PeerRpc& rpc;
-    const node::Settings& settings;
-    storage::DurableStore* store;  // null: this node holds no state
-    consensus::StalenessBound& stalenessBound;
-    std::function<void(const consensus::RegisterValue&)> onCommitted;
-    std::function<void(const std::string&)> log;
-  };
-  using ProposalCallback = std::function<void(const consensus::Proposer::Result&)>;
+  /// `store`: null on a node that holds no acceptor. `seed`: for ballots' authors and incarnations;
+  /// must differ from run to run.
+  RegisterService(event::EventLoop& loop, rpc::PeerRpc& rpc, storage::DurableStore* store,
+                  consensus::StalenessBound& stalenessBound, RegisterObserver& observer,
+                  RegisterServiceOptions options, std::uint64_t seed);
 
-  RegisterService(Dependencies parts, std::uint64_t seed);
-
-  void handleRequest(const consensus::RegisterRequest& ask,
-                     std::function<void(std::optional<consensus::RegisterReply>)> answer);
-  void propose(consensus::Proposer::ChangeFunction change, Duration limit, ProposalCallback told);
-  // A chosen value, from wherever.
-  void learn(const consensus::RegisterValue& value);
+  /// Answers a peer's request; nothing where this node holds no acceptor or can't use its disk.
+  void handleRequest(const consensus::RegisterRequest& request,
+                     AcceptorHost::ReplyCallback onReply);
+  /// Changes or reads the register; see ProposalRunner.
+  void propose(consensus::Proposer::ChangeFunction change, Duration limit,
+               ProposalRunner::ResultCallback onResult);
+  /// To be called often (each tenth of a second): recovery, repair, abandoned voter changes.
   void tick();
-  // Duty of the first live voter: brings the voters in line with the core machines that live.
+  /// See VoterSetManager::maintain.
   void maintainVoterSet(const consensus::VoterSetView& view);
-  // Is there anything here that only this node can bring to its end?
-  [[nodiscard]] bool hasPendingWork() const;
 
-  [[nodiscard]] const consensus::RegisterValue& committedValue() const { return committedValue_; }
-  // The same as JSON for a reader that has the text `has`; made once.
-  [[nodiscard]] const std::string& committedValueJson(std::uint64_t has);
-  [[nodiscard]] std::uint64_t textId() const;
-  [[nodiscard]] const config::ConfigTextCache& textCache() const { return textCache_; }
-  [[nodiscard]] bool isVoter() const {
-    return acceptor_ && committedValue_.isVoter(dependencies_.settings.nodeId);
+  // RegisterReplica
+  [[nodiscard]] const consensus::RegisterValue& committedValue() const override {
+    return committedValue_;
   }
-  [[nodiscard]] bool recovered() const { return acceptor_ && acceptor_->recovered(); }
-  [[nodiscard]] bool storageFailing() const { return unsaved_; }
-  // Up to when all that the voter here has accepted is known; none where no voter is awake.
-  [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const;
+  [[nodiscard]] const std::string& committedValueJson(std::uint64_t receiverTextId) override;
+  [[nodiscard]] consensus::RegisterValue decodeValue(const nlohmann::json& encoded) const override;
+  void learn(const consensus::RegisterValue& value) override;
+  [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override;
+
+  /// Texts and histories seen lately, to encode and decode messages that rest on them.
+  [[nodiscard]] const config::ConfigTextCache& textCache() const { return textCache_; }
+  /// This node has an acceptor and is among the committed voters.
+  [[nodiscard]] bool isVoter() const;
+  /// This node's acceptor may promise and accept.
+  [[nodiscard]] bool recovered() const;
+  /// The disk refused a write of this node's acceptor, and none has succeeded in its place yet.
+  [[nodiscard]] bool storageFailing() const;
+  /// A proposal of this node, a voter change or an accepted value awaits its completion: a node
+  /// that shuts down finishes it first.
+  [[nodiscard]] bool hasPendingWork() const;
 
  private:
-  struct Proposal;
-  void sendRequests(const std::shared_ptr<Proposal>& climb,
-                    const std::vector<consensus::Proposer::OutgoingRequest>& sends);
-  void finishProposal(const std::shared_ptr<Proposal>& climb);
-  void rejoin();
-  void repair();
-  void finishVoterChange();
-  void changeVoters(const std::vector<NodeId>& voters);
-  [[nodiscard]] Duration turn() const;
-  consensus::RegisterValue basis() const;
-  [[nodiscard]] Duration roundTimeout() const;
-  [[nodiscard]] Duration ownProposalTimeout() const;
+  void adoptVotersOf(const consensus::RegisterValue& accepted);
 
-  Dependencies dependencies_;
+  event::EventLoop& loop_;
+  consensus::StalenessBound& stalenessBound_;
+  RegisterObserver& observer_;
+  RegisterServiceOptions options_;
+  ProposalTiming timing_;
   std::mt19937_64 random_;
   TimePoint startedAt_;
-  std::optional<consensus::Acceptor> acceptor_;
   consensus::RegisterValue committedValue_;
+  /// The committed value encoded, by the text id of the receiver; of one sequence only.
   std::map<std::uint64_t, std::string> committedJson_;
-  config::ConfigTextCache textCache_;
   std::uint64_t committedJsonSequence_ = 0;
-  TimePoint rivalSeenAt_;  // when another node's round last came by
-  bool unsaved_ = false;   // the state in memory is ahead of the disk
-  bool repairing_ = false;
-  Duration repairPause_{};  // longer after each read that reached no majority
-  bool changingVoters_ = false;
-  int activeProposals_ = 0;
-  TimePoint halfSince_;  // a change of voters has been seen half done since
-  std::uint64_t halfEpoch_ = 0;
-  std::optional<TimePoint> aheadSince_;
-  TimePoint rejoinAt_;
-  std::set<NodeId> rejoinAsked_;  // who has not answered yet
+  config::ConfigTextCache textCache_;
+  std::unique_ptr<AcceptorHost> acceptorHost_;          // null without a store
+  ProposalRunner runner_;                               // after acceptorHost_, which it refers to
+  std::unique_ptr<AcceptorRecovery> acceptorRecovery_;  // null without a store
+  std::unique_ptr<ValueRepair> valueRepair_;            // null without a store
+  VoterSetManager voterSetManager_;
 };
 
 }  // namespace merlingauge::control
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -89,11 +89,11 @@
     store_ = std::make_unique<storage::DurableStore>(loop_, settings_.dataDirectory + "/register",
                                                      bytes);
   }
+  control::RegisterObserver& observer = *this;
   registerService_ = std::make_unique<control::RegisterService>(
-      control::RegisterService::Dependencies{
-          loop_, rpc_, settings_, store_.get(), stalenessBound_,
-          [this](const RegisterValue& value) { onCommitted(value); },
-          [](const std::string& text) { logOf("cairn").information(text); }},
+      loop_, rpc_, store_.get(), stalenessBound_, observer,
+      control::RegisterServiceOptions{settings_.nodeId, settings_.cpuCores, settings_.bootstrap,
+                                      settings_.seeds},
       seed_ + 1);
   gossip::GossipService::Environment world;
   world.now = [this] { return loop_.now(); };
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -23,10 +23,10 @@
 
 namespace merlingauge::node {
 
-class Node {
+class Node : private control::RegisterObserver {
  public:
   Node(event::EventLoop& loop, Settings settings, std::string settingsPath);
-  ~Node();
+  ~Node() override;
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
   void start();
@@ -39,7 +39,7 @@
   void maintainVoterSet();
   [[nodiscard]] consensus::VoterSetView voterSetView();
   [[nodiscard]] bool hasHandedOver();
-  void onCommitted(const consensus::RegisterValue& value);
+  void onCommitted(const consensus::RegisterValue& value) override;
   void whenReplicated(const InstanceId& id, std::function<void(bool)> done);
   void checkReplicationWaits();
   [[nodiscard]] std::string heartbeatTarget(const InstanceId& id) const;
