--- a/src/control/config_change.cpp
+++ b/src/control/config_change.cpp
@@ -2,82 +2,118 @@
 
 #include <Poco/SHA1Engine.h>
 
+#include <optional>
 #include <utility>
 
 #include "config/route_table.hpp"
 
 namespace merlingauge::control {
 
+using config::ChangeHistory;
+using config::ConfigText;
+using consensus::Proposer;
+using consensus::RegisterValue;
 using nlohmann::json;
 
-std::uint64_t changeDigest(bool whole, const std::string& base, const std::string& body) {
-  Poco::SHA1Engine engine;
-  engine.update((whole ? "replace/" : "update/") + base + "/" + body);
-  std::uint64_t out = 0;
-  const auto& bytes = engine.digest();
-  for (std::size_t i = 0; i < sizeof out; ++i) out = out << 8U | bytes.at(i);
-  return out;
-}
-
 namespace {
-consensus::Proposer::Decision refuse(ErrorKind error, std::string detail) {
-  return {consensus::Proposer::Decision::Kind::reject, error, std::move(detail)};
+std::string currentRevisionDetail(const RegisterValue& current) {
+  return "version " + std::to_string(current.revision().value) + " is in place";
 }
 
-// What the order makes of the current text; empty `problem` where it is valid.
-std::string build(const ConfigChange& order, const consensus::RegisterValue& current,
-                  consensus::RegisterValue& next) {
-  if (order.isReplace) {
-    next.config = order.text;
-  } else {
-    if (!current.config) return "there is no configuration to change";
-    auto updated = config::applyUpdate(json::parse(current.config->text()), *order.document);
-    if (!updated.error.empty()) return updated.error;
-    // Its items have passed the schema one by one; what is left are the rules between them.
-    const auto read = config::RouteTable::parse(updated.config, false);
-    if (!read.table) return read.error;
-    next.config = config::ConfigText::create(updated.config.dump());
+// The rejection that follows from the history alone; nothing where the change builds on the current
+// revision and must be decided on its content.
+std::optional<ChangeDecision> decideByHistory(const ConfigChange& change,
+                                              const ChangeHistory& history,
+                                              const RegisterValue& current) {
+  switch (history.outcomeOf(change.baseRevision, change.digest)) {
+    case ChangeHistory::Outcome::committed:
+      return ChangeAlreadyCommitted{};
+    case ChangeHistory::Outcome::superseded:
+      return ChangeRejected{ErrorKind::versionConflict, currentRevisionDetail(current)};
+    case ChangeHistory::Outcome::truncated:
+      return ChangeRejected{ErrorKind::changeHistoryTruncated,
+                            "known from version " + std::to_string(history.floor().value) + " on"};
+    case ChangeHistory::Outcome::baseNotYetCommitted:
+      return ChangeRejected{ErrorKind::baseNotYetCommitted, currentRevisionDetail(current)};
+    case ChangeHistory::Outcome::undecided:
+      break;
   }
-  next.configRevision = Revision{(*order.document)["revision"].get<std::int64_t>()};
-  return next.configRevision > current.revision() ? "" : "revision: not above the current one";
+  return std::nullopt;
+}
+
+// While the voter set is being changed both sets count: a value must survive in the smaller one.
+bool hasTooFewVoters(const RegisterValue& current, std::size_t minVoters) {
+  const bool leavingTooFew =
+      !current.previousVoters.empty() && current.previousVoters.size() < minVoters;
+  return leavingTooFew || current.voters.size() < minVoters;
+}
+
+ChangeRejected invalidConfig(std::string detail) {
+  return ChangeRejected{ErrorKind::invalidConfig, std::move(detail)};
+}
+
+// The text that the change makes of the current configuration, or why it is invalid.
+std::variant<ConfigText::Ptr, ChangeRejected> resultingText(const ConfigChange& change,
+                                                            const RegisterValue& current) {
+  if (change.kind == ConfigChange::Kind::replace) return change.text;
+  if (!current.config) return invalidConfig("there is no configuration to change");
+  const auto updated = config::applyUpdate(json::parse(current.config->text()), *change.document);
+  if (!updated.error.empty()) return invalidConfig(updated.error);
+  // Each item has passed the schema; the rules between the items are still to be checked.
+  const auto parsed = config::RouteTable::parse(updated.config, false);
+  if (!parsed.table) return invalidConfig(parsed.error);
+  return ConfigText::create(updated.config.dump());
 }
 }  // namespace
 
-consensus::Proposer::Decision decideChange(const ConfigChange& order,
-                                           const ConfigChangeLimits& terms,
-                                           const consensus::RegisterValue& current,
-                                           consensus::RegisterValue& next) {
-  const config::ChangeHistory none(current.revision());
-  const config::ChangeHistory& history = current.history ? *current.history : none;
-  switch (history.outcomeOf(order.baseRevision, order.digest)) {
-    case config::ChangeHistory::Outcome::committed:
-      return {};
-    case config::ChangeHistory::Outcome::superseded:
-      return refuse(ErrorKind::versionConflict,
-                    "version " + std::to_string(current.revision().value) + " is in place");
-    case config::ChangeHistory::Outcome::truncated:
-      return refuse(ErrorKind::changeHistoryTruncated,
-                    "known from version " + std::to_string(history.floor().value) + " on");
-    case config::ChangeHistory::Outcome::baseNotYetCommitted:
-      return refuse(ErrorKind::baseNotYetCommitted,
-                    "version " + std::to_string(current.revision().value) + " is in place");
-    case config::ChangeHistory::Outcome::undecided:
-      break;
+std::uint64_t changeDigest(ConfigChange::Kind kind, const std::string& baseRevision,
+                           const std::string& body) {
+  const char* const prefix = kind == ConfigChange::Kind::replace ? "replace/" : "update/";
+  Poco::SHA1Engine engine;
+  engine.update(prefix + baseRevision + "/" + body);
+  const auto& bytes = engine.digest();
+  std::uint64_t digest = 0;
+  for (std::size_t i = 0; i < sizeof digest; ++i) digest = digest << 8U | bytes.at(i);
+  return digest;
+}
+
+ChangeDecision decideChange(const ConfigChange& change, const ConfigChangeLimits& limits,
+                            const RegisterValue& current) {
+  const ChangeHistory unknownHistory(current.revision());
+  const ChangeHistory& history = current.history ? *current.history : unknownHistory;
+  if (auto decided = decideByHistory(change, history, current)) return *std::move(decided);
+  if (hasTooFewVoters(current, limits.minVoters)) {
+    return ChangeRejected{ErrorKind::tooFewVoters, std::to_string(current.voters.size()) + " of " +
+                                                       std::to_string(limits.minVoters)};
   }
-  // Whatever is acknowledged must survive the losses to be borne: the voters are made up first.
-  const bool stepping =
-      !current.previousVoters.empty() && current.previousVoters.size() < terms.minVoters;
-  if (stepping || current.voters.size() < terms.minVoters) {
-    return refuse(ErrorKind::tooFewVoters,
-                  std::to_string(current.voters.size()) + " of " + std::to_string(terms.minVoters));
+  auto result = resultingText(change, current);
+  if (auto* const rejected = std::get_if<ChangeRejected>(&result)) return std::move(*rejected);
+  ChangeApplied applied;
+  applied.config = std::get<ConfigText::Ptr>(std::move(result));
+  applied.revision = Revision{(*change.document)["revision"].get<std::int64_t>()};
+  if (applied.revision <= current.revision())
+    return invalidConfig("revision: not above the current one");
+  if (applied.config->text().size() > limits.maxTextBytes) {
+    return invalidConfig("larger than the " + std::to_string(limits.maxTextBytes) +
+                         " bytes that the disks take");
   }
-  if (auto problem = build(order, current, next); !problem.empty()) {
-    return refuse(ErrorKind::invalidConfig, std::move(problem));
+  applied.history = history.extendedBy({applied.revision, change.digest}, limits.maxHistoryEntries);
+  return applied;
+}
+
+Proposer::Decision toProposerDecision(ChangeDecision decision, RegisterValue& next) {
+  Proposer::Decision result;
+  if (auto* const rejected = std::get_if<ChangeRejected>(&decision)) {
+    result.kind = Proposer::Decision::Kind::reject;
+    result.error = rejected->error;
+    result.detail = std::move(rejected->detail);
+  } else if (auto* const applied = std::get_if<ChangeApplied>(&decision)) {
+    result.kind = Proposer::Decision::Kind::write;
+    next.config = std::move(applied->config);
+    next.configRevision = applied->revision;
+    next.history = std::move(applied->history);
   }
-  next.history = history.extendedBy({next.configRevision, order.digest}, terms.maxHistoryEntries);
-  consensus::Proposer::Decision put;
-  put.kind = consensus::Proposer::Decision::Kind::write;
-  return put;
+  return result;
 }
 
 }  // namespace merlingauge::control
--- /dev/null
+++ b/src/control/config_operations.cpp
@@ -0,0 +1,85 @@
+#include "control/config_operations.hpp"
+
+#include <Poco/Logger.h>
+
+#include <nlohmann/json.hpp>
+#include <utility>
+#include <variant>
+
+#include "control/control_requests.hpp"
+
+namespace merlingauge::control {
+
+using consensus::Proposer;
+using consensus::RegisterValue;
+using http::ServerExchange;
+using nlohmann::json;
+
+namespace {
+// Operators give a call one second; what is left is for the way back.
+constexpr Duration kCallTimeout = std::chrono::milliseconds(900);
+constexpr const char* kJsonType = "application/json";
+constexpr const char* kBaseRevisionHeader = "Base-Revision";
+
+Poco::Logger& logger() { return Poco::Logger::get("control"); }
+
+void respondToChange(const ServerExchange::Ptr& exchange, const json& document,
+                     const Proposer::Result& result) {
+  const auto& revision = document["revision"];
+  const auto name = "version " + std::to_string(revision.get<std::int64_t>());
+  if (!result.succeeded) {
+    logger().information(name + " is not committed: " + responseFor(result.error).message);
+    exchange->respondError(result.error, result.detail);
+    return;
+  }
+  logger().information(name + " is committed");
+  exchange->respond(200, "OK", json{{"revision", revision}}.dump(), kJsonType);
+}
+
+void respondToDescribe(const ServerExchange::Ptr& exchange, const Proposer::Result& result) {
+  if (!result.succeeded || !result.valueKnown) {
+    exchange->respondError(ErrorKind::noQuorum);
+  } else if (!result.value.config) {
+    exchange->respondError(ErrorKind::noConfiguration);
+  } else {
+    exchange->respond(200, "OK", result.value.config->text(), kJsonType);
+  }
+}
+}  // namespace
+
+ConfigOperations::ConfigOperations(RegisterService& registerService,
+                                   const ConfigChangeLimits& limits)
+    : registerService_(registerService), limits_(limits) {}
+
+void ConfigOperations::change(const ServerExchange::Ptr& exchange, ConfigChange::Kind kind,
+                              const std::string& body) {
+  auto parsed = parseConfigChange(kind, exchange->request.get(kBaseRevisionHeader, ""), body);
+  if (const auto* const error = std::get_if<RequestError>(&parsed)) {
+    exchange->respondError(error->kind, error->detail);
+    return;
+  }
+  auto change = std::get<ConfigChange>(std::move(parsed));
+  if (const auto violation = findViolation(change); !violation.empty()) {
+    logger().information("configuration change rejected: " + violation);
+    exchange->respondError(ErrorKind::invalidConfig, violation);
+    return;
+  }
+  const auto document = change.document;
+  registerService_.propose(
+      [change = std::move(change), limits = limits_](const RegisterValue& current,
+                                                     RegisterValue& next) {
+        return toProposerDecision(decideChange(change, limits, current), next);
+      },
+      kCallTimeout + consensus::extraRoundTime(body.size()),
+      [exchange, document](const Proposer::Result& result) {
+        respondToChange(exchange, *document, result);
+      });
+}
+
+void ConfigOperations::describe(const ServerExchange::Ptr& exchange) {
+  registerService_.propose(
+      [](const RegisterValue&, RegisterValue&) { return Proposer::Decision{}; }, kCallTimeout,
+      [exchange](const Proposer::Result& result) { respondToDescribe(exchange, result); });
+}
+
+}  // namespace merlingauge::control
--- a/src/control/control_api.hpp
+++ b/src/control/control_api.hpp
@@ -1,48 +1,45 @@
-// office: the calls of servers and operators.
+// control_api.hpp: the HTTP calls of server instances and operators, dispatched to their handlers.
 #pragma once
 
-#include <cstdint>
-#include <functional>
-#include <nlohmann/json.hpp>
 #include <string>
 
-#include "config/route_table.hpp"
+#include "control/config_change.hpp"
+#include "control/config_operations.hpp"
+#include "control/control_api_host.hpp"
+#include "control/instance_operations.hpp"
 #include "control/register_service.hpp"
+#include "event/event_loop.hpp"
 #include "http/server_connection.hpp"
 #include "membership/instance_registry.hpp"
 
 namespace merlingauge::control {
 
+/// Serves the /v1/ paths of the control listener and of the readiness listener. Event-loop thread
+/// only; all references must outlive it.
 class ControlApi {
  public:
-  struct Dependencies {
-    event::EventLoop& loop;
-    RegisterService& registerService;
-    membership::InstanceRegistry& registry;
-    std::function<void(const membership::Instance&)>
-        onInstanceUpdate;  // before the acknowledgement leaves
-    std::function<void()> onRegistryChanged;
-    // Calls back once the word on that server survives the losses to be borne, or can't in time.
-    std::function<void(const InstanceId&, std::function<void(bool)>)> whenReplicated;
-    // Where that server should send its beats; empty: here.
-    std::function<std::string(const InstanceId&)> heartbeatTarget;
-    std::function<nlohmann::json()> status;
-    std::function<bool()> ready;
-    std::size_t minVoters = 1;  // below which no change is taken
-    std::function<void(const std::string&)> log;
-    std::size_t maxConfigBytes = SIZE_MAX;  // bytes
-  };
-  explicit ControlApi(Dependencies parts) : dependencies_(std::move(parts)) {}
+  ControlApi(event::EventLoop& loop, ControlApiHost& host, RegisterService& registerService,
+             membership::InstanceRegistry& registry, const ConfigChangeLimits& limits);
+
+  /// Answers the exchange, at once or later. The table of operations is in the .cpp.
   void handle(const http::ServerExchange::Ptr& exchange);
 
  private:
-  void acknowledgeWhenReplicated(const http::ServerExchange::Ptr& exchange, const std::string& id);
-  void heartbeat(const http::ServerExchange::Ptr& exchange, const std::string& id,
-                 const std::string& body);
-  void deregister(const http::ServerExchange::Ptr& exchange, const std::string& id);
-  void change(const http::ServerExchange::Ptr& exchange, const std::string& body, bool whole);
-  void describe(const http::ServerExchange::Ptr& exchange);
-  Dependencies dependencies_;
+  struct Call;
+  struct Operation;
+  static const Operation kOperations[];
+
+  void heartbeat(const Call& call);
+  void deregister(const Call& call);
+  void replaceConfiguration(const Call& call);
+  void updateConfiguration(const Call& call);
+  void describeConfiguration(const Call& call);
+  void status(const Call& call);
+  void readiness(const Call& call);
+
+  ControlApiHost& host_;
+  InstanceOperations instances_;
+  ConfigOperations configuration_;
 };
 
 }  // namespace merlingauge::control
--- /dev/null
+++ b/src/control/instance_operations.cpp
@@ -0,0 +1,78 @@
+#include "control/instance_operations.hpp"
+
+#include <Poco/Logger.h>
+
+#include <nlohmann/json.hpp>
+#include <variant>
+
+namespace merlingauge::control {
+
+using http::ServerExchange;
+using membership::Instance;
+using membership::InstanceRegistry;
+using nlohmann::json;
+
+namespace {
+constexpr const char* kJsonType = "application/json";
+
+Poco::Logger& logger() { return Poco::Logger::get("control"); }
+}  // namespace
+
+InstanceOperations::InstanceOperations(event::EventLoop& loop, ControlApiHost& host,
+                                       InstanceRegistry& registry)
+    : loop_(loop), host_(host), registry_(registry) {}
+
+void InstanceOperations::heartbeat(const ServerExchange::Ptr& exchange,
+                                   const std::string& instanceId, const std::string& body) {
+  const auto parsed = parseHeartbeat(instanceId, body);
+  if (const auto* const error = std::get_if<RequestError>(&parsed)) {
+    exchange->respondError(error->kind, error->detail);
+    return;
+  }
+  const auto instance = std::get<HeartbeatRequest>(parsed).toInstance();
+  // Asked before this heartbeat makes the instance one that this node reports.
+  const auto target = host_.heartbeatTarget(instance.id);
+  recordHeartbeat(instance);
+  const auto known = registry_.findInstance(instance.id);
+  if (known && known->status != Instance::Status::available) {
+    acknowledgeWhenReplicated(exchange, instance.id);
+    return;
+  }
+  json response = json::object();
+  if (!target.empty()) response["heartbeat_target"] = target;
+  exchange->respond(200, "OK", response.dump(), kJsonType);
+}
+
+void InstanceOperations::recordHeartbeat(const Instance& instance) {
+  const auto result = registry_.handleHeartbeat(instance, loop_.now());
+  if (result == InstanceRegistry::HeartbeatResult::stale) return;
+  if (const auto known = registry_.findInstance(instance.id)) host_.onInstanceUpdate(*known);
+  if (result != InstanceRegistry::HeartbeatResult::changed) return;
+  const bool draining = instance.status == Instance::Status::draining;
+  logger().information("instance " + instance.id.str() + (draining ? " drains" : " is available"));
+  host_.onRegistryChanged();
+}
+
+void InstanceOperations::deregister(const ServerExchange::Ptr& exchange,
+                                    const std::string& instanceId) {
+  const InstanceId id(instanceId);
+  if (registry_.deregister(id, loop_.now())) {
+    logger().information("instance " + instanceId + " is deregistered");
+    if (const auto known = registry_.findInstance(id)) host_.onInstanceUpdate(*known);
+    host_.onRegistryChanged();
+  }
+  acknowledgeWhenReplicated(exchange, id);
+}
+
+void InstanceOperations::acknowledgeWhenReplicated(const ServerExchange::Ptr& exchange,
+                                                   const InstanceId& id) {
+  host_.whenReplicated(id, [exchange](bool replicated) {
+    if (replicated) {
+      exchange->respond(200, "OK", "{}", kJsonType);
+    } else {
+      exchange->respondError(ErrorKind::noQuorum);
+    }
+  });
+}
+
+}  // namespace merlingauge::control
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -134,19 +134,11 @@
       logOf("hut").warning("out of touch with the majority of the voters, acting for nobody");
     }
   };
-  controlApi_ = std::make_unique<control::ControlApi>(control::ControlApi::Dependencies{
-      loop_, *registerService_, registry_,
-      [this](const Instance& server) {
-        if (ingress_) ingress_->onInstanceUpdate(server, loop_.now());
-      },
-      [this] { gossip_->notifyUpdate(); },
-      [this](const InstanceId& id, std::function<void(bool)> done) {
-        whenReplicated(id, std::move(done));
-      },
-      [this](const InstanceId& id) { return heartbeatTarget(id); }, [this] { return status(); },
-      [this] { return ready(); }, 2 * settings_.faultTolerance + 1,
-      [](const std::string& text) { logOf("hut").information(text); },
-      store_ ? store_->maxTextBytes() : kControlBody});
+  control::ControlApiHost& host = *this;
+  controlApi_ = std::make_unique<control::ControlApi>(
+      loop_, host, *registerService_, registry_,
+      control::ConfigChangeLimits{2 * settings_.faultTolerance + 1,
+                                  store_ ? store_->maxTextBytes() : kControlBody});
   if (!settings_.clientAddress().empty()) {
     const bool gateway = !settings_.frontendAddress.empty();
     std::unique_ptr<proxy::UpstreamTransport> transport;
@@ -196,6 +188,12 @@
   tick();
 }
 
+void Node::onInstanceUpdate(const Instance& instance) {
+  if (ingress_) ingress_->onInstanceUpdate(instance, loop_.now());
+}
+
+void Node::onRegistryChanged() { gossip_->notifyUpdate(); }
+
 void Node::openListeners() {
   // Sockets share what is left of the descriptors; callers must not use up what the mesh needs.
   const auto room = static_cast<std::size_t>(std::max(64, settings_.maxDescriptors - 264));
@@ -306,7 +304,7 @@
   mine.idleTimeout = limits.idleTimeout;
 }
 
-bool Node::ready() const {
+bool Node::isReady() const {
   if (shutdownSince_ || registerService_->committedValue().config == nullptr ||
       !gossip_->hasPulled())
     return false;
@@ -571,7 +569,7 @@
     before.push_back(voter.str());
   json out = {{"node", settings_.nodeName},
               {"version", MERLINGAUGE_VERSION},
-              {"ready", ready()},
+              {"ready", isReady()},
               {"revision", registerService_->committedValue().revision().value},
               {"in_force", routeTable_ ? routeTable_->revision().value : 0},
               {"epoch", registerService_->committedValue().epoch},
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -23,7 +23,7 @@
 
 namespace merlingauge::node {
 
-class Node : private control::RegisterObserver {
+class Node : private control::RegisterObserver, private control::ControlApiHost {
  public:
   Node(event::EventLoop& loop, Settings settings, std::string settingsPath);
   ~Node() override;
@@ -40,9 +40,11 @@
   [[nodiscard]] consensus::VoterSetView voterSetView();
   [[nodiscard]] bool hasHandedOver();
   void onCommitted(const consensus::RegisterValue& value) override;
-  void whenReplicated(const InstanceId& id, std::function<void(bool)> done);
+  void whenReplicated(const InstanceId& id, std::function<void(bool)> done) override;
   void checkReplicationWaits();
-  [[nodiscard]] std::string heartbeatTarget(const InstanceId& id) const;
+  [[nodiscard]] std::string heartbeatTarget(const InstanceId& id) const override;
+  void onInstanceUpdate(const membership::Instance& instance) override;
+  void onRegistryChanged() override;
   [[nodiscard]] NodeId firstLiveControlNode(const InstanceId& id) const;
   [[nodiscard]] bool isLiveControlNode(const NodeId& node) const;
   void detectNodeFailures();
@@ -50,10 +52,10 @@
   void handlePeerRequest(const http::ServerExchange::Ptr& exchange);
   void continueShutdown();
   void applyLimits();
-  [[nodiscard]] bool ready() const;
+  [[nodiscard]] bool isReady() const override;
   [[nodiscard]] bool mayAct() const;
   void checkUpToDate();
-  nlohmann::json status();
+  [[nodiscard]] nlohmann::json status() override;
   [[nodiscard]] nlohmann::json controlCounts() const;
 
   event::EventLoop& loop_;
--- a/tests/simulation/register_world.cpp
+++ b/tests/simulation/register_world.cpp
@@ -431,7 +431,8 @@
 
   ConfigChange orderOf(const Sent& sent) const {
     const auto text = textOf(sent);
-    return {true, Revision{sent.base}, control::changeDigest(true, std::to_string(sent.base), text),
+    return {ConfigChange::Kind::replace, Revision{sent.base},
+            control::changeDigest(ConfigChange::Kind::replace, std::to_string(sent.base), text),
             std::make_shared<const nlohmann::json>(nlohmann::json{{"revision", sent.revision}}),
             config::ConfigText::create(text)};
   }
@@ -449,7 +450,8 @@
     terms.maxHistoryEntries =
         forgets ? 4 : static_cast<std::size_t>(number(s_, "history", ChangeHistory::kMaxEntries));
     run(m, call, [order, terms, forgets, hasty](const RegisterValue& current, RegisterValue& next) {
-      auto verdict = control::decideChange(order, terms, current, next);
+      auto verdict =
+          control::toProposerDecision(control::decideChange(order, terms, current), next);
       if ((forgets && verdict.error == ErrorKind::changeHistoryTruncated) ||
           (hasty && verdict.error == ErrorKind::baseNotYetCommitted)) {
         verdict.error = ErrorKind::versionConflict;
@@ -984,7 +986,7 @@
       call->base = sent.base;
       call->revision = sent.revision;
       call->digest = order.digest;
-      return control::decideChange(order, {}, current, next);
+      return control::toProposerDecision(control::decideChange(order, {}, current), next);
     });
     return call;
   }
