--- /dev/null
+++ b/src/cli/check_command.cpp
@@ -0,0 +1,35 @@
+// check_command: `check FILE`.
+#include <iostream>
+#include <nlohmann/json.hpp>
+
+#include "cli/commands.hpp"
+#include "cli/input_file.hpp"
+#include "config/route_table.hpp"
+#include "node/settings.hpp"
+
+namespace merlingauge::cli {
+
+namespace {
+// One line that names the field; empty where the document is valid.
+std::string findProblem(const std::string& text) {
+  const auto document = nlohmann::json::parse(text, nullptr, false);
+  if (document.is_object() && document.contains("route_rules")) {
+    return config::RouteTable::parse(document).error;
+  }
+  return node::parseSettings(text).error;
+}
+}  // namespace
+
+ExitStatus checkFile(const std::string& path) {
+  const auto text = readInputFile(path);
+  if (!text) return ExitStatus::noInput;
+  const auto problem = findProblem(*text);
+  if (!problem.empty()) {
+    std::cerr << "merlingauge: " << path << ": " << problem << "\n";
+    return ExitStatus::dataError;
+  }
+  std::cout << path << ": ok\n";
+  return ExitStatus::ok;
+}
+
+}  // namespace merlingauge::cli
