--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -16,7 +16,9 @@
   if (document.is_object() && document.contains("route_rules")) {
     return config::RouteTable::parse(document).error;
   }
-  return node::parseSettings(text).error;
+  const auto parsed = node::parseSettings(text);
+  const auto* error = std::get_if<node::SettingsError>(&parsed);
+  return error == nullptr ? "" : error->message();
 }
 }  // namespace
 
--- a/src/cli/node_command.cpp
+++ b/src/cli/node_command.cpp
@@ -82,13 +82,13 @@
   const char* variable = std::getenv("MERLINGAUGE_SETTINGS");
   const std::string path = variable == nullptr ? "" : variable;
   auto loaded = node::loadSettings(path);
-  if (!loaded.settings) {
-    std::cerr << "merlingauge: " << loaded.error << "\n";
+  if (const auto* error = std::get_if<node::SettingsError>(&loaded)) {
+    std::cerr << "merlingauge: " << error->message() << "\n";
     return ExitStatus::configuration;
   }
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    runUntilStopped(*loaded.settings, path);
+    runUntilStopped(std::get<node::Settings>(std::move(loaded)), path);
   } catch (const Poco::Exception& error) {
     std::cerr << "merlingauge: " << error.displayText() << "\n";
     return ExitStatus::software;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -661,16 +661,17 @@
 }
 
 void Node::reloadSettings() {
-  auto read = loadSettings(settingsPath_);
-  if (!read.settings) {
-    logOf("hut").error("the new settings are not taken: " + read.error);
+  const auto loaded = loadSettings(settingsPath_);
+  if (const auto* error = std::get_if<SettingsError>(&loaded)) {
+    logOf("hut").error("the new settings are not taken: " + error->message());
     return;
   }
   // Addresses and identity hold for the life of the process; the rest applies now.
-  settings_.seeds = read.settings->seeds;
-  settings_.heartbeatInterval = read.settings->heartbeatInterval;
-  settings_.drainTimeout = read.settings->drainTimeout;
-  settings_.gracePeriod = read.settings->gracePeriod;
+  const auto& reloaded = std::get<Settings>(loaded);
+  settings_.seeds = reloaded.seeds;
+  settings_.heartbeatInterval = reloaded.heartbeatInterval;
+  settings_.drainTimeout = reloaded.drainTimeout;
+  settings_.gracePeriod = reloaded.gracePeriod;
   logOf("hut").information("settings read again");
 }
 
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 #include <fstream>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <sstream>
 
 #include "config/config_schema.hpp"
@@ -13,130 +14,181 @@
 namespace merlingauge::node {
 
 using nlohmann::json;
+using Poco::Net::SocketAddress;
 
 namespace {
 
-std::string listener(const json& network, const char* name) {
-  return network["listeners"].value(name, "");
+using Problem = std::optional<SettingsError>;
+
+std::optional<json> parseJson(const std::string& text) {
+  auto document = json::parse(text, nullptr, false);
+  if (document.is_discarded()) return std::nullopt;
+  return document;
+}
+
+// The schema's own message is "FIELD: REASON".
+Problem checkSchema(const json& document) {
+  const auto violation = config::schemaViolation(config::SchemaKind::settings, document);
+  if (violation.empty()) return std::nullopt;
+  const auto colon = violation.find(": ");
+  if (colon == std::string::npos) return SettingsError{"", violation};
+  return SettingsError{violation.substr(0, colon), violation.substr(colon + 2)};
+}
+
+void readLimits(const json& limits, Settings& settings) {
+  settings.maxDescriptors = static_cast<int>(limits.value("file_descriptors", 1024.0));
+  settings.cpuCores = limits.value("cpu_share", 1.0) * limits.value("cpu_cores", 1.0);
+  settings.diskMb = static_cast<int>(limits.value("disk_mb", 64.0));
+}
+
+void readSelfNode(const json& node, Settings& settings) {
+  settings.nodeName = node["node_name"].get<std::string>();
+  settings.nodeId = NodeId(node["ip_address"].get<std::string>());
+  settings.zone = ZoneName(node["zone"].get<std::string>());
+  settings.targetService = ServiceName(node.value("target_service", ""));
+  settings.appAddress = node.value("app_address", "");
+  settings.quorumMember = node.value("quorum_member", false);
+  settings.bootstrap = node.value("bootstrap", false);
+  if (node.contains("data_directory") && node["data_directory"].is_string()) {
+    settings.dataDirectory = node["data_directory"].get<std::string>();
+  }
+  if (node.contains("limits")) readLimits(node["limits"], settings);
 }
 
-// Empty where the address is absent or sound.
-std::string addressProblem(const char* field, const std::string& address) {
-  if (address.empty()) return "";
+void readListeners(const json& listeners, Settings& settings) {
+  settings.ingressAddress = listeners.value("ingress", "");
+  settings.egressAddress = listeners.value("egress", "");
+  settings.frontendAddress = listeners.value("frontend", "");
+  settings.readinessAddress = listeners.value("readiness", "");
+  settings.controlAddress = listeners.value("control_plane", "");
+}
+
+Problem checkAddress(const char* field, const std::string& address) {
+  if (address.empty()) return std::nullopt;
   try {
-    const Poco::Net::SocketAddress parsed(address);
-    if (parsed.port() != 0) return "";
+    const SocketAddress parsed(address);
+    if (parsed.port() != 0) return std::nullopt;
   } catch (const Poco::Exception&) {
-    // told below
+    // Reported below: the reason is the same as for port 0.
   }
-  return std::string(field) + ": not an address with a port: " + address;
+  return SettingsError{field, "not an address with a port: " + address};
 }
 
-// What a role serves and the addresses it is given must agree.
-std::string roleProblem(const json& node, const Settings& s) {
-  const auto serves = [&](const char* what) {
-    const auto& list = node["serves"];
-    return std::find(list.begin(), list.end(), what) != list.end();
+Problem checkAddresses(const Settings& settings) {
+  struct AddressField {
+    const char* field;
+    const std::string& address;
   };
-  if (!s.frontendAddress.empty() && (!s.egressAddress.empty() || !s.ingressAddress.empty())) {
-    return "network.listeners: frontend together with egress or ingress";
-  }
-  if (serves("edge") && s.frontendAddress.empty()) {
-    return "network.listeners.frontend: missing, and self_node.serves names edge";
-  }
-  if (serves("edge") && s.readinessAddress.empty()) {
-    return "network.listeners.readiness: missing, and self_node.serves names edge";
+  const AddressField fields[] = {{"network.listeners.ingress", settings.ingressAddress},
+                                 {"network.listeners.egress", settings.egressAddress},
+                                 {"network.listeners.frontend", settings.frontendAddress},
+                                 {"network.listeners.readiness", settings.readinessAddress},
+                                 {"network.listeners.control_plane", settings.controlAddress},
+                                 {"self_node.app_address", settings.appAddress}};
+  for (const auto& [field, address] : fields) {
+    if (auto problem = checkAddress(field, address)) return problem;
   }
-  if (serves("sidecar") && (s.egressAddress.empty() || s.ingressAddress.empty())) {
-    return "network.listeners: egress or ingress missing, and self_node.serves names sidecar";
-  }
-  if (serves("control_plane") && s.controlAddress.empty()) {
-    return "network.listeners.control_plane: missing, and self_node.serves names control_plane";
-  }
-  return "";
+  return std::nullopt;
 }
 
-void readTerms(const json& terms, Settings& s) {
-  s.drainTimeout = fromSeconds(terms.value("drain_timeout_s", toSeconds(s.drainTimeout)));
-  s.gracePeriod = fromSeconds(terms.value("grace_period_s", toSeconds(s.gracePeriod)));
-  s.retryBudgetRatio = terms.value("retry_budget_ratio", s.retryBudgetRatio);
-  s.retryBudgetSlack = terms.value("retry_budget_slack", s.retryBudgetSlack);
-  s.retryWindow = fromSeconds(terms.value("retry_window_s", toSeconds(s.retryWindow)));
+std::uint16_t portOf(const std::string& address) {
+  return address.empty() ? std::uint16_t{0} : SocketAddress(address).port();
 }
 
-}  // namespace
+// After checkAddresses.
+void readPorts(const json& network, Settings& settings) {
+  settings.internalPort = network["internal_port_range"][0].get<std::uint16_t>();
+  settings.ingressPort = portOf(settings.ingressAddress);
+  settings.controlPort = portOf(settings.controlAddress);
+}
 
-SettingsResult parseSettings(const std::string& text) {
-  const auto document = json::parse(text, nullptr, false);
-  if (document.is_discarded()) return {std::nullopt, "settings: not JSON"};
-  if (auto problem = config::schemaViolation(config::SchemaKind::settings, document);
-      !problem.empty()) {
-    return {std::nullopt, "settings: " + problem};
+// What the node is to serve and the addresses it is given must agree.
+Problem checkRole(const json& node, const Settings& settings) {
+  const auto serves = [&](const char* role) {
+    const auto& roles = node["serves"];
+    return std::find(roles.begin(), roles.end(), role) != roles.end();
+  };
+  const bool hasSidecarAddress =
+      !settings.egressAddress.empty() || !settings.ingressAddress.empty();
+  if (settings.isGateway() && hasSidecarAddress) {
+    return SettingsError{"network.listeners", "frontend together with egress or ingress"};
   }
-  Settings s;
-  const auto& node = document["self_node"];
-  const auto& network = document["network"];
-  s.nodeName = node["node_name"].get<std::string>();
-  s.nodeId = NodeId(node["ip_address"].get<std::string>());
-  s.zone = ZoneName(node["zone"].get<std::string>());
-  s.targetService = ServiceName(node.value("target_service", ""));
-  s.appAddress = node.value("app_address", "");
-  s.quorumMember = node.value("quorum_member", false);
-  s.bootstrap = node.value("bootstrap", false);
-  if (node.contains("data_directory") && node["data_directory"].is_string()) {
-    s.dataDirectory = node["data_directory"].get<std::string>();
+  if (serves("edge") && settings.frontendAddress.empty()) {
+    return SettingsError{"network.listeners.frontend", "missing, and self_node.serves names edge"};
   }
-  if (node.contains("limits")) {
-    s.maxDescriptors = static_cast<int>(node["limits"].value("file_descriptors", 1024.0));
-    s.cpuCores = node["limits"].value("cpu_share", 1.0) * node["limits"].value("cpu_cores", 1.0);
-    s.diskMb = static_cast<int>(node["limits"].value("disk_mb", 64.0));
+  if (serves("edge") && settings.readinessAddress.empty()) {
+    return SettingsError{"network.listeners.readiness", "missing, and self_node.serves names edge"};
   }
-  s.ingressAddress = listener(network, "ingress");
-  s.egressAddress = listener(network, "egress");
-  s.frontendAddress = listener(network, "frontend");
-  s.readinessAddress = listener(network, "readiness");
-  s.controlAddress = listener(network, "control_plane");
-  const std::pair<const char*, const std::string*> addresses[] = {
-      {"network.listeners.ingress", &s.ingressAddress},
-      {"network.listeners.egress", &s.egressAddress},
-      {"network.listeners.frontend", &s.frontendAddress},
-      {"network.listeners.readiness", &s.readinessAddress},
-      {"network.listeners.control_plane", &s.controlAddress},
-      {"self_node.app_address", &s.appAddress}};
-  for (const auto& [field, address] : addresses) {
-    if (auto problem = addressProblem(field, *address); !problem.empty()) {
-      return {std::nullopt, "settings: " + problem};
-    }
+  if (serves("sidecar") && (settings.egressAddress.empty() || settings.ingressAddress.empty())) {
+    return SettingsError{"network.listeners",
+                         "egress or ingress missing, and self_node.serves names sidecar"};
   }
-  s.internalPort = network["internal_port_range"][0].get<std::uint16_t>();
-  if (!s.ingressAddress.empty()) s.ingressPort = Poco::Net::SocketAddress(s.ingressAddress).port();
-  if (!s.controlAddress.empty()) s.controlPort = Poco::Net::SocketAddress(s.controlAddress).port();
-  if (auto problem = roleProblem(node, s); !problem.empty()) {
-    return {std::nullopt, "settings: " + problem};
+  if (serves("control_plane") && settings.controlAddress.empty()) {
+    return SettingsError{"network.listeners.control_plane",
+                         "missing, and self_node.serves names control_plane"};
   }
+  return std::nullopt;
+}
+
+Problem readSeeds(const json& network, Settings& settings) {
   for (const auto& seed : network["seed_nodes"]) {
     const auto address = seed.get<std::string>();
-    if (auto problem = addressProblem("network.seed_nodes", address); !problem.empty()) {
-      return {std::nullopt, "settings: " + problem};
-    }
-    s.seeds.emplace_back(address.substr(0, address.find(':')));
+    if (auto problem = checkAddress("network.seed_nodes", address)) return problem;
+    settings.seeds.emplace_back(address.substr(0, address.find(':')));
   }
+  return std::nullopt;
+}
+
+void readTimingBounds(const json& bounds, Settings& settings) {
+  const auto seconds = [&](const char* key, Duration fallback) {
+    return fromSeconds(bounds.value(key, toSeconds(fallback)));
+  };
+  settings.drainTimeout = seconds("drain_timeout_s", settings.drainTimeout);
+  settings.gracePeriod = seconds("grace_period_s", settings.gracePeriod);
+  settings.retryWindow = seconds("retry_window_s", settings.retryWindow);
+  settings.retryBudgetRatio = bounds.value("retry_budget_ratio", settings.retryBudgetRatio);
+  settings.retryBudgetSlack = bounds.value("retry_budget_slack", settings.retryBudgetSlack);
+}
+
+void readPolicies(const json& document, Settings& settings) {
   if (document.contains("platform_config")) {
-    s.heartbeatInterval =
+    settings.heartbeatInterval =
         fromSeconds(document["platform_config"].value("heartbeat_interval_s", 1.5));
   }
   const auto& terms = document["policy_terms"];
-  readTerms(terms["timing_bounds"], s);
+  readTimingBounds(terms["timing_bounds"], settings);
   if (terms.contains("fault_tolerance")) {
-    s.faultTolerance = terms["fault_tolerance"].value("machines", s.faultTolerance);
+    settings.faultTolerance = terms["fault_tolerance"].value("machines", settings.faultTolerance);
   }
-  return {s, ""};
+}
+
+}  // namespace
+
+std::string SettingsError::message() const {
+  return "settings: " + (field.empty() ? reason : field + ": " + reason);
+}
+
+SettingsResult parseSettings(const std::string& text) {
+  const auto document = parseJson(text);
+  if (!document) return SettingsError{"", "not JSON"};
+  if (auto problem = checkSchema(*document)) return *problem;
+  const auto& node = (*document)["self_node"];
+  const auto& network = (*document)["network"];
+  Settings settings;
+  readSelfNode(node, settings);
+  readListeners(network["listeners"], settings);
+  if (auto problem = checkAddresses(settings)) return *problem;
+  readPorts(network, settings);
+  if (auto problem = checkRole(node, settings)) return *problem;
+  if (auto problem = readSeeds(network, settings)) return *problem;
+  readPolicies(*document, settings);
+  return settings;
 }
 
 SettingsResult loadSettings(const std::string& path) {
-  if (path.empty()) return {std::nullopt, "settings: MERLINGAUGE_SETTINGS is not set"};
+  if (path.empty()) return SettingsError{"", "MERLINGAUGE_SETTINGS is not set"};
   std::ifstream file(path);
-  if (!file) return {std::nullopt, "settings: can't read " + path};
+  if (!file) return SettingsError{"", "can't read " + path};
   std::stringstream text;
   text << file.rdbuf();
   return parseSettings(text.str());
--- a/tests/simulation/document_world.cpp
+++ b/tests/simulation/document_world.cpp
@@ -79,6 +79,13 @@
   return kNames[static_cast<int>(*refused)];
 }
 
+// Empty where the settings are valid.
+std::string settingsProblem(const std::string& text) {
+  const auto parsed = node::parseSettings(text);
+  const auto* error = std::get_if<node::SettingsError>(&parsed);
+  return error == nullptr ? "" : error->message();
+}
+
 }  // namespace
 
 void playText(const Scenario& scenario) {
@@ -110,7 +117,7 @@
       const auto patch = rest(2);
       if (!patch.empty()) document.merge_patch(nlohmann::json::parse(patch));
       const auto problem = w[0] == "config" ? config::RouteTable::parse(document).error
-                                            : node::parseSettings(document.dump()).error;
+                                            : settingsProblem(document.dump());
       if (w[1] == "ok") {
         require(problem.empty(), told + ": " + problem);
       } else {
