--- /dev/null
+++ b/src/node/config_applier.cpp
@@ -0,0 +1,43 @@
+#include "node/config_applier.hpp"
+
+#include <Poco/Logger.h>
+
+#include <string>
+
+#include "config/config_schema.hpp"
+
+namespace merlingauge::node {
+
+namespace {
+Poco::Logger& logger() { return Poco::Logger::get("node"); }
+
+// Without the schema: the document has passed it on the node that proposed it.
+config::RouteTable::ParseResult parseCommitted(const std::string& text) {
+  const auto document = config::parseDocument(text);
+  if (!document) return {nullptr, "not a JSON document"};
+  return config::RouteTable::parse(*document, false);
+}
+}  // namespace
+
+Revision ConfigApplier::revision() const {
+  return routeTable_ ? routeTable_->revision() : Revision{};
+}
+
+bool ConfigApplier::isNewer(const consensus::RegisterValue& value) const {
+  return value.config && (!routeTable_ || value.revision() > routeTable_->revision());
+}
+
+bool ConfigApplier::apply(const consensus::RegisterValue& value) {
+  if (!isNewer(value)) return false;
+  const auto parsed = parseCommitted(value.config->text());
+  if (!parsed.table) {
+    logger().error("a committed configuration can't be read: " + parsed.error);
+    return false;
+  }
+  routeTable_ = parsed.table;
+  logger().information("configuration revision " + std::to_string(value.revision().value) +
+                       " is in force");
+  return true;
+}
+
+}  // namespace merlingauge::node
--- /dev/null
+++ b/src/node/listeners.cpp
@@ -0,0 +1,105 @@
+#include "node/listeners.hpp"
+
+#include <Poco/Logger.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "base/errors.hpp"
+
+namespace merlingauge::node {
+
+using http::ServerExchange;
+using Poco::Net::SocketAddress;
+
+namespace {
+// Descriptors that are not for accepted connections: upstream connections' floor, listeners, the
+// store's files, the event loop's own.
+constexpr int kReservedDescriptors = 264;
+constexpr int kMinConnectionBudget = 64;
+// Readiness is asked by a balancer or two.
+constexpr std::size_t kReadinessConnections = 32;
+// Few nodes pull from a sidecar or an edge. How many pull from a control node while others are down
+// can't be said beforehand: it gets half of the budget, and no less than this.
+constexpr std::size_t kMinPeerConnections = 256;
+// A message between nodes may carry a whole configuration and the state of the registry beside it.
+constexpr std::uint64_t kMaxPeerBodyBytes = 2 * Listeners::kMaxControlBodyBytes;
+// The head that the egress sends is the caller's and the headers between nodes.
+constexpr std::size_t kMaxIngressHeadBytes = 128 * 1024;
+}  // namespace
+
+Listeners::Listeners(event::EventLoop& loop, const Settings& settings,
+                     const ListenerHandlers& handlers)
+    : loop_(loop),
+      connectionBudget_(static_cast<std::size_t>(
+          std::max(kMinConnectionBudget, settings.maxDescriptors - kReservedDescriptors))) {
+  openProxyListeners(settings, handlers);
+  openControlListeners(settings, handlers.controlApi);
+  openPeerListener(settings, handlers.peerEndpoint);
+}
+
+std::unique_ptr<http::HttpListener> Listeners::open(const std::string& address,
+                                                    std::size_t maxConnections, Serve serve) {
+  if (address.empty()) return nullptr;
+  auto listener =
+      std::make_unique<http::HttpListener>(loop_, SocketAddress(address), maxConnections);
+  listener->context->onExchange = std::move(serve);
+  listener->context->onRejected = [](ErrorKind kind) {
+    Poco::Logger::get("http").debug(std::string("rejected: ") + responseFor(kind).message);
+  };
+  return listener;
+}
+
+void Listeners::openProxyListeners(const Settings& settings, const ListenerHandlers& handlers) {
+  // An edge has no ingress to share the descriptors with.
+  const std::size_t callers = settings.isGateway() ? connectionBudget_ / 2 : connectionBudget_ / 3;
+  auto* egress = handlers.egress;
+  egress_ = open(settings.clientAddress(), callers,
+                 [egress](const ServerExchange::Ptr& exchange) { egress->handle(exchange); });
+  if (egress_) {
+    egress_->context->mayPipeline = [egress](const ServerExchange& exchange) {
+      return egress->mayPipeline(exchange);
+    };
+  }
+  auto* ingress = handlers.ingress;
+  ingress_ = open(settings.ingressAddress, connectionBudget_ / 3,
+                  [ingress](const ServerExchange::Ptr& exchange) { ingress->handle(exchange); });
+  if (ingress_) ingress_->context->limits.maxHeadBytes = kMaxIngressHeadBytes;
+}
+
+void Listeners::openControlListeners(const Settings& settings, control::ControlApi& controlApi) {
+  const auto serve = [&controlApi](const ServerExchange::Ptr& exchange) {
+    controlApi.handle(exchange);
+  };
+  readiness_ = open(settings.readinessAddress, kReadinessConnections, serve);
+  control_ = open(settings.controlAddress, connectionBudget_ / 3, serve);
+  if (control_) control_->context->limits.maxBodyBytes = kMaxControlBodyBytes;
+}
+
+void Listeners::openPeerListener(const Settings& settings, PeerEndpoint& peerEndpoint) {
+  const SocketAddress address(settings.nodeId.str(), settings.internalPort);
+  const std::size_t peers = settings.isControlNode()
+                                ? std::max(kMinPeerConnections, connectionBudget_ / 2)
+                                : kMinPeerConnections;
+  peer_ = open(address.toString(), peers, [&peerEndpoint](const ServerExchange::Ptr& exchange) {
+    peerEndpoint.handle(exchange);
+  });
+  peer_->context->limits.maxBodyBytes = kMaxPeerBodyBytes;
+}
+
+void Listeners::drain() {
+  for (auto* listener : {egress_.get(), ingress_.get()}) {
+    if (listener != nullptr) listener->context->draining = true;
+  }
+}
+
+void Listeners::applyClientLimits(const config::ClientLimits& limits) {
+  if (!egress_) return;
+  auto& own = egress_->context->limits;
+  own.maxHeadBytes = limits.maxHeadBytes;
+  own.maxBodyBytes = limits.maxBodyBytes;
+  own.headerTimeout = limits.headerTimeout;
+  own.idleTimeout = limits.idleTimeout;
+}
+
+}  // namespace merlingauge::node
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,21 +1,37 @@
-// warden: one node. Puts the parts together and runs them from start to stop.
+// node: one node of the system, put together from its parts.
 #pragma once
 
+#include <cstdint>
 #include <memory>
-#include <optional>
-#include <set>
 #include <string>
-#include <vector>
 
-#include "config/route_table.hpp"
+#include "base/ids.hpp"
+#include "base/time.hpp"
+#include "consensus/staleness_bound.hpp"
 #include "control/control_api.hpp"
+#include "control/register_observer.hpp"
 #include "control/register_service.hpp"
 #include "event/event_loop.hpp"
 #include "gossip/gossip_service.hpp"
 #include "http/client_exchange.hpp"
-#include "http/server_connection.hpp"
 #include "membership/instance_registry.hpp"
+#include "node/config_applier.hpp"
+#include "node/control_api_bindings.hpp"
+#include "node/control_node_liveness.hpp"
+#include "node/failure_detector.hpp"
+#include "node/graceful_shutdown.hpp"
+#include "node/heartbeat_router.hpp"
+#include "node/lifecycle.hpp"
+#include "node/listeners.hpp"
+#include "node/peer_endpoint.hpp"
+#include "node/proxy_node_feed.hpp"
+#include "node/readiness.hpp"
+#include "node/replication_waiter.hpp"
 #include "node/settings.hpp"
+#include "node/startup_throttle.hpp"
+#include "node/status_report.hpp"
+#include "node/voter_role.hpp"
+#include "node/voter_set_observer.hpp"
 #include "proxy/egress.hpp"
 #include "proxy/ingress.hpp"
 #include "rpc/peer_rpc.hpp"
@@ -23,87 +39,75 @@
 
 namespace merlingauge::node {
 
-class Node : private control::RegisterObserver, private control::ControlApiHost {
+/// Owns the parts of one node and connects them; decides nothing itself. Lives as long as the
+/// process. Event-loop thread only; the loop must outlive it.
+class Node : private control::RegisterObserver {
  public:
+  /// Opens the listeners and, on a control node, the store. Throws where that fails.
   Node(event::EventLoop& loop, Settings settings, std::string settingsPath);
   ~Node() override;
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
+  Node(Node&&) = delete;
+  Node& operator=(Node&&) = delete;
+
+  /// Begins the periodic work. Called once, before the loop runs.
   void start();
-  void stop();            // SIGTERM
-  void reloadSettings();  // SIGHUP
+  /// Begins the graceful shutdown, on SIGTERM; it ends by stopping the loop.
+  void stop();
+  /// Reads the settings file again, on SIGHUP. Settings that can't be used are logged and dropped.
+  void reloadSettings();
 
  private:
-  void openListeners();
-  void tick();
-  void maintainVoterSet();
-  [[nodiscard]] consensus::VoterSetView voterSetView();
-  [[nodiscard]] bool hasHandedOver();
   void onCommitted(const consensus::RegisterValue& value) override;
-  void whenReplicated(const InstanceId& id, std::function<void(bool)> done) override;
-  void checkReplicationWaits();
-  [[nodiscard]] std::string heartbeatTarget(const InstanceId& id) const override;
-  void onInstanceUpdate(const membership::Instance& instance) override;
-  void onRegistryChanged() override;
-  [[nodiscard]] NodeId firstLiveControlNode(const InstanceId& id) const;
-  [[nodiscard]] bool isLiveControlNode(const NodeId& node) const;
-  void detectNodeFailures();
-  void onNodesChanged();
-  void handlePeerRequest(const http::ServerExchange::Ptr& exchange);
-  void continueShutdown();
-  void applyLimits();
-  [[nodiscard]] bool isReady() const override;
-  [[nodiscard]] bool mayAct() const;
-  void checkUpToDate();
-  [[nodiscard]] nlohmann::json status() override;
-  [[nodiscard]] nlohmann::json controlCounts() const;
+  [[nodiscard]] gossip::GossipService::Dependencies gossipDependencies();
+  [[nodiscard]] std::unique_ptr<storage::DurableStore> openStore();
+  [[nodiscard]] std::unique_ptr<proxy::Egress> createEgress();
+  [[nodiscard]] std::unique_ptr<proxy::Ingress> createIngress();
+  [[nodiscard]] control::ConfigChangeLimits configChangeLimits() const;
+  void onLeaseChange(bool held);
+  void tick();
 
   event::EventLoop& loop_;
   Settings settings_;
   std::string settingsPath_;
-  bool isControlNode_;
-  std::uint64_t seed_;
-  http::ConnectionPool upstreamPool_;
-  http::ConnectionPool serverPool_;
+  std::uint64_t seed_;  // another one in each run; each part that draws has its own from it
+  Lifecycle lifecycle_;
+
+  // What the node knows and how it talks to others. Later members refer to earlier ones.
+  http::ConnectionPool upstreamPool_;  // of the egress
+  http::ConnectionPool serverPool_;    // of the ingress
   rpc::PeerRpc rpc_;
   membership::InstanceRegistry registry_;
   consensus::StalenessBound stalenessBound_;
-  std::unique_ptr<storage::DurableStore> store_;
-  std::unique_ptr<control::RegisterService> registerService_;
-  std::unique_ptr<gossip::GossipService> gossip_;
-  std::unique_ptr<control::ControlApi> controlApi_;
-  std::unique_ptr<proxy::Egress> egress_;
-  std::unique_ptr<proxy::Ingress> ingress_;
-  std::unique_ptr<http::HttpListener> egressListener_;
-  std::unique_ptr<http::HttpListener> ingressListener_;
-  std::unique_ptr<http::HttpListener> readinessListener_;
-  std::unique_ptr<http::HttpListener> controlListener_;
-  std::unique_ptr<http::HttpListener> peerListener_;
-  config::RouteTable::Ptr routeTable_;
-  std::optional<TimePoint> shutdownSince_;
-  std::map<NodeId, TimePoint> controlNodeFirstSeen_;
-  TimePoint tickedAt_;
-  TimePoint listeningSince_;  // before that this process stood still and heard nobody
-  struct ReplicationWait {
-    InstanceId id;
-    std::function<void(bool)> done;
-    TimePoint deadline;
-  };
-  std::vector<ReplicationWait> replicationWaits_;
-  std::set<NodeId> suspected_;  // found silent from here, and not heard since
-  // Nodes that are quiet here: one that denies it by a higher incarnation is left alone for a
-  // while.
-  struct SilentNode {
-    std::uint64_t infoVersion = 0;
-    TimePoint ignoreUntil;
-  };
-  std::map<NodeId, SilentNode> silentNodes_;
-  std::uint64_t nodeChangesSeen_ = 0;  // the change of nodes that the egress has been told of
-  TimePoint sweepAt_;
-  TimePoint startedAt_;
-  std::optional<TimePoint> firstConfigAt_;  // when this life first had a configuration
-  bool wasUpToDate_ = false;                // in this life; what is in force here is no old one's
-  TimePoint incompatibleLoggedAt_;          // when a foreign message was last logged
+  std::unique_ptr<storage::DurableStore> store_;  // null: this node holds no state
+  control::RegisterService registerService_;
+  gossip::GossipService gossip_;
+
+  // Requests.
+  ConfigApplier configApplier_;
+  std::unique_ptr<proxy::Egress> egress_;    // null on a node without callers
+  std::unique_ptr<proxy::Ingress> ingress_;  // null on a node without a server beside it
+  TimePoint nextLoadExpiryAt_;
+  ProxyNodeFeed proxyNodes_;
+
+  // Decisions about other nodes and instances.
+  ControlNodeLiveness controlNodes_;
+  StartupThrottle startupThrottle_;
+  FailureDetector failureDetector_;
+  ReplicationWaiter replicationWaiter_;
+  HeartbeatRouter heartbeatRouter_;
+  VoterSetObserver voterSet_;
+  VoterRole voterRole_;
+
+  // What others can ask of this node.
+  Readiness readiness_;
+  StatusReport statusReport_;
+  ControlApiBindings controlApiBindings_;
+  control::ControlApi controlApi_;
+  PeerEndpoint peerEndpoint_;
+  Listeners listeners_;
+  GracefulShutdown shutdown_;
 };
 
 }  // namespace merlingauge::node
--- /dev/null
+++ b/src/node/replication_waiter.cpp
@@ -0,0 +1,73 @@
+#include "node/replication_waiter.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace merlingauge::node {
+
+namespace {
+// An instance gives a call to the control API one second; the rest is for the way there and back.
+constexpr Duration kReplicationTimeout = std::chrono::milliseconds(800);
+}  // namespace
+
+ReplicationWaiter::ReplicationWaiter(const event::EventLoop& loop, const Settings& settings,
+                                     const Lifecycle& lifecycle,
+                                     const membership::InstanceRegistry& registry,
+                                     const control::RegisterService& registerService,
+                                     const gossip::GossipService& gossip,
+                                     const ControlNodeLiveness& controlNodes)
+    : loop_(loop),
+      settings_(settings),
+      lifecycle_(lifecycle),
+      registry_(registry),
+      registerService_(registerService),
+      gossip_(gossip),
+      controlNodes_(controlNodes) {}
+
+void ReplicationWaiter::whenReplicated(const InstanceId& id, Callback done) {
+  // The ingress beside the server rejects what comes for it: that needs no other node.
+  if (settings_.hasIngress()) {
+    done(true);
+    return;
+  }
+  if (!controlNodes_.mayActForOthers()) {
+    done(false);
+    return;
+  }
+  pending_.push_back({id, std::move(done), loop_.now() + kReplicationTimeout});
+  checkPending();
+}
+
+std::size_t ReplicationWaiter::requiredReplicas() const {
+  const auto& voters = registerService_.committedValue().voters;
+  const std::size_t otherVoters = voters.empty() ? 0 : voters.size() - 1;
+  // A node that shuts down doesn't count itself as a replica.
+  const std::size_t self = lifecycle_.isShuttingDown() ? 1 : 0;
+  return std::min(settings_.faultTolerance + self, otherVoters);
+}
+
+bool ReplicationWaiter::isReplicated(const InstanceId& id, std::size_t replicas) const {
+  if (!controlNodes_.mayActForOthers()) return false;
+  const auto dot = registry_.dotOf(id);
+  return !dot || gossip_.replicaCount(*dot) >= replicas;
+}
+
+void ReplicationWaiter::checkPending() {
+  if (pending_.empty()) return;
+  struct Completion {
+    Callback done;
+    bool replicated;
+  };
+  const std::size_t replicas = requiredReplicas();
+  std::vector<Completion> completions;
+  std::erase_if(pending_, [&](PendingWait& wait) {
+    const bool replicated = isReplicated(wait.id, replicas);
+    if (!replicated && loop_.now() < wait.deadline) return false;
+    completions.push_back({std::move(wait.done), replicated});
+    return true;
+  });
+  // After the loop: a callback may add a new wait.
+  for (const auto& completion : completions) completion.done(completion.replicated);
+}
+
+}  // namespace merlingauge::node
