--- a/tests/compatibility/stored_and_peer_formats_test.cpp
+++ b/tests/compatibility/stored_and_peer_formats_test.cpp
@@ -129,7 +129,9 @@
   ChangeHistory::Ptr out = std::make_shared<ChangeHistory>(Revision{0});
   for (const auto& [revision, text] : texts) {
     const auto base = std::to_string(out->lastRevision().value);
-    out = out->extendedBy({Revision{revision}, control::changeDigest(true, base, text)});
+    out =
+        out->extendedBy({Revision{revision},
+                         control::changeDigest(control::ConfigChange::Kind::replace, base, text)});
   }
   return out;
 }
@@ -313,7 +315,7 @@
 TEST_F(Store, KnowsAnOrderThatIsSentAgainByItsDigest) {
   const auto acceptor = restore();
   const auto text = contents(kFixtures / "configurations" / "revision-7.json");
-  const auto again = control::changeDigest(true, "4", text);
+  const auto again = control::changeDigest(control::ConfigChange::Kind::replace, "4", text);
   EXPECT_EQ(acceptor.value().history->outcomeOf(Revision{4}, again),
             ChangeHistory::Outcome::committed);
 }
