--- a/src/control/config_operations.cpp
+++ b/src/control/config_operations.cpp
@@ -16,7 +16,8 @@
 using nlohmann::json;
 
 namespace {
-// Operators give a call one second; what is left is for the way back.
+// The time of a proposal for a caller: below one second, so that the answer leaves before a caller
+// that waits for a second gives up.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(900);
 constexpr const char* kJsonType = "application/json";
 constexpr const char* kBaseRevisionHeader = "Base-Revision";
--- a/src/control/proposal_runner.cpp
+++ b/src/control/proposal_runner.cpp
@@ -11,8 +11,8 @@
 using nlohmann::json;
 
 namespace {
-// How long a call to a voter is kept open. The proposer gives a round up earlier; this only frees
-// the call, and a late reply still tells texts.
+// How long a call to a voter is kept open. Rounds end much earlier; this only frees the call of a
+// voter that never replies.
 constexpr Duration kVoterCallTimeout = std::chrono::seconds(4);
 }  // namespace
 
--- a/src/control/proposal_timing.cpp
+++ b/src/control/proposal_timing.cpp
@@ -14,12 +14,9 @@
 constexpr double kMaxAddedMillis = 500;
 // Guards the division against a machine of no processor time.
 constexpr double kMinCores = 0.001;
-// The limit of a background proposal on a fast machine: four rounds and their backoff.
-constexpr Duration kMinBackgroundTimeout = std::chrono::milliseconds(900);
-// Rounds that a background proposal on a slow machine has time for.
+// Rounds that a background proposal has time for: some are lost to other proposers and lost
+// messages, and nobody waits for it.
 constexpr int kBackgroundRounds = 10;
-// Two message delays between nodes: by then the voter before this one has been heard of.
-constexpr Duration kMinStagger = std::chrono::milliseconds(40);
 }  // namespace
 
 ProposalTiming::ProposalTiming(NodeId self, double cpuCores) : self_(std::move(self)) {
@@ -28,12 +25,13 @@
 }
 
 Duration ProposalTiming::backgroundProposalTimeout() const {
-  return std::max(kMinBackgroundTimeout, roundTimeout_ * kBackgroundRounds);
+  return roundTimeout_ * kBackgroundRounds;
 }
 
 Duration ProposalTiming::staggerDelay(const std::vector<NodeId>& voters) const {
   const auto position = std::find(voters.begin(), voters.end(), self_) - voters.begin();
-  return position * std::max(kMinStagger, roundTimeout_ / 2);
+  // Half a round: by then the node is asked by the voter before it, if that one lives.
+  return position * (roundTimeout_ / 2);
 }
 
 }  // namespace merlingauge::control
