--- a/src/node/control_node_liveness.cpp
+++ b/src/node/control_node_liveness.cpp
@@ -2,6 +2,8 @@
 
 #include <vector>
 
+#include "gossip/rendezvous_order.hpp"
+
 namespace merlingauge::node {
 
 ControlNodeLiveness::ControlNodeLiveness(const Lifecycle& lifecycle,
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -12,7 +12,6 @@
 namespace merlingauge::node {
 
 using consensus::RegisterValue;
-using nlohmann::json;
 
 namespace {
 constexpr Duration kTickInterval = std::chrono::milliseconds(100);
@@ -95,6 +94,19 @@
 control::RegisterServiceOptions registerServiceOptions(const Settings& settings) {
   return {settings.nodeId, settings.cpuCores, settings.bootstrap, settings.seeds};
 }
+
+gossip::GossipOptions gossipOptions(const Settings& settings, std::uint64_t seed) {
+  gossip::GossipOptions options;
+  options.self = settings.nodeId;
+  options.zone = settings.zone;
+  options.seeds = settings.seeds;
+  options.isControlNode = settings.isControlNode();
+  options.receivesHeartbeats = !settings.isGateway();
+  options.updateInterval = spacing(kUpdateCostMs, settings);
+  options.fullSyncInterval = spacing(kFullSyncCostMs, settings);
+  options.initialDelay = firstGossipDelay(settings, seed);
+  return options;
+}
 }  // namespace
 
 Node::Node(event::EventLoop& loop, Settings settings, std::string settingsPath)
@@ -105,11 +117,13 @@
       upstreamPool_(loop, upstreamPoolOptions(settings_)),
       serverPool_(loop, serverPoolOptions()),
       rpc_(loop, settings_.internalPort),
+      gossipEnvironment_(loop, rpc_),
       registry_(selfInfo(settings_), newIncarnation()),
       store_(openStore()),
       registerService_(loop_, rpc_, store_.get(), stalenessBound_, *this,
                        registerServiceOptions(settings_), seed_ + 1),
-      gossip_(gossipDependencies()),
+      gossip_({gossipEnvironment_, registry_, registerService_, stalenessBound_},
+              gossipOptions(settings_, seed_), *this),
       egress_(createEgress()),
       ingress_(createIngress()),
       proxyNodes_(registry_, egress_.get()),
@@ -144,39 +158,6 @@
                                                  static_cast<std::size_t>(megabytes) << 20);
 }
 
-gossip::GossipService::Dependencies Node::gossipDependencies() {
-  gossip::GossipService::Environment environment;
-  environment.now = [this] { return loop_.now(); };
-  environment.readClock = [] { return event::EventLoop::readClock(); };
-  environment.after = [this](Duration wait, event::EventLoop::Task work) {
-    return loop_.after(wait, std::move(work));
-  };
-  environment.cancel = [this](event::EventLoop::TimerId id) { loop_.cancel(id); };
-  environment.send = [this](const NodeId& to, const json& body, Duration limit,
-                            rpc::PeerRpc::ResponseCallback answer) {
-    rpc_.call(to, "/news", body, limit, std::move(answer));
-  };
-  return {std::move(environment),
-          settings_.nodeId,
-          settings_.zone,
-          [this]() -> const std::vector<NodeId>& { return settings_.seeds; },
-          registry_,
-          [this]() -> const RegisterValue& { return registerService_.committedValue(); },
-          [this](std::uint64_t has) -> const std::string& {
-            return registerService_.committedValueJson(has);
-          },
-          [this](const json& value) { return registerService_.decodeValue(value); },
-          [this](const RegisterValue& value) { registerService_.learn(value); },
-          stalenessBound_,
-          [this] { return registerService_.ownAcceptedAsOf(); },
-          [this] { proxyNodes_.update(); },
-          settings_.isControlNode(),
-          !settings_.isGateway(),
-          spacing(kUpdateCostMs, settings_),
-          spacing(kFullSyncCostMs, settings_),
-          firstGossipDelay(settings_, seed_)};
-}
-
 std::unique_ptr<proxy::Egress> Node::createEgress() {
   if (!settings_.hasEgress()) return nullptr;
   std::unique_ptr<proxy::UpstreamTransport> transport;
@@ -217,16 +198,19 @@
 
 void Node::start() {
   lifecycle_.onStart(loop_.now());
-  gossip_.onPeerProgress = [this] { replicationWaiter_.checkPending(); };
-  gossip_.onLeaseChange = [this](bool held) { onLeaseChange(held); };
-  gossip_.onFirstContact = [this](const NodeId& peer) {
-    startupThrottle_.onFirstContact(peer, loop_.now());
-  };
   startupThrottle_.onStart(loop_.now());
   logger().information("node " + settings_.nodeName + " has started");
   tick();
 }
 
+void Node::onNodesChanged() { proxyNodes_.update(); }
+
+void Node::onPeerProgress() { replicationWaiter_.checkPending(); }
+
+void Node::onFirstContact(const NodeId& peer) {
+  startupThrottle_.onFirstContact(peer, loop_.now());
+}
+
 void Node::onLeaseChange(bool held) {
   if (held) {
     logger().information("in touch with a quorum of the voters");
@@ -275,6 +259,7 @@
   // Addresses and identity hold for the life of the process; the rest applies now.
   const auto& reloaded = std::get<Settings>(loaded);
   settings_.seeds = reloaded.seeds;
+  gossip_.setSeeds(reloaded.seeds);
   settings_.heartbeatInterval = reloaded.heartbeatInterval;
   settings_.drainTimeout = reloaded.drainTimeout;
   settings_.gracePeriod = reloaded.gracePeriod;
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -19,6 +19,7 @@
 #include "node/control_api_bindings.hpp"
 #include "node/control_node_liveness.hpp"
 #include "node/failure_detector.hpp"
+#include "node/gossip_environment.hpp"
 #include "node/graceful_shutdown.hpp"
 #include "node/heartbeat_router.hpp"
 #include "node/lifecycle.hpp"
@@ -41,7 +42,7 @@
 
 /// Owns the parts of one node and connects them; decides nothing itself. Lives as long as the
 /// process. Event-loop thread only; the loop must outlive it.
-class Node : private control::RegisterObserver {
+class Node : private control::RegisterObserver, private gossip::GossipObserver {
  public:
   /// Opens the listeners and, on a control node, the store. Throws where that fails.
   Node(event::EventLoop& loop, Settings settings, std::string settingsPath);
@@ -60,12 +61,14 @@
 
  private:
   void onCommitted(const consensus::RegisterValue& value) override;
-  [[nodiscard]] gossip::GossipService::Dependencies gossipDependencies();
+  void onNodesChanged() override;
+  void onPeerProgress() override;
+  void onFirstContact(const NodeId& peer) override;
+  void onLeaseChange(bool held) override;
   [[nodiscard]] std::unique_ptr<storage::DurableStore> openStore();
   [[nodiscard]] std::unique_ptr<proxy::Egress> createEgress();
   [[nodiscard]] std::unique_ptr<proxy::Ingress> createIngress();
   [[nodiscard]] control::ConfigChangeLimits configChangeLimits() const;
-  void onLeaseChange(bool held);
   void tick();
 
   event::EventLoop& loop_;
@@ -78,6 +81,7 @@
   http::ConnectionPool upstreamPool_;  // of the egress
   http::ConnectionPool serverPool_;    // of the ingress
   rpc::PeerRpc rpc_;
+  GossipEnvironment gossipEnvironment_;
   membership::InstanceRegistry registry_;
   consensus::StalenessBound stalenessBound_;
   std::unique_ptr<storage::DurableStore> store_;  // null: this node holds no state
--- a/src/node/peer_endpoint.cpp
+++ b/src/node/peer_endpoint.cpp
@@ -7,6 +7,8 @@
 
 #include "base/decode_error.hpp"
 #include "config/config_schema.hpp"
+#include "control/proposal_runner.hpp"
+#include "gossip/wire_keys.hpp"
 
 namespace merlingauge::node {
 
@@ -14,9 +16,6 @@
 using nlohmann::json;
 
 namespace {
-// Paths between nodes, on the wire since the first version.
-constexpr const char* kGossipPath = "/news";
-constexpr const char* kRegisterPath = "/register";
 // While two versions run side by side, incompatible messages come with every pull: one log line in
 // this time says enough.
 constexpr Duration kIncompatibleLogInterval = std::chrono::seconds(10);
@@ -55,12 +54,11 @@
   }
 }
 
-void PeerEndpoint::dispatch(const ServerExchange::Ptr& exchange, const json& message,
-                            const Reply& reply) {
+void PeerEndpoint::dispatch(const ServerExchange::Ptr& exchange, json message, const Reply& reply) {
   const auto& path = exchange->request.getURI();
-  if (path == kGossipPath) {
-    gossip_.handlePull(message, reply);
-  } else if (path == kRegisterPath) {
+  if (path == gossip::wire::kPath) {
+    gossip_.handlePull(std::move(message), reply);
+  } else if (path == control::kRegisterRpcPath) {
     handleRegisterRequest(exchange, message, reply);
   } else {
     exchange->respondError(ErrorKind::unknownOperation);
--- a/src/node/peer_endpoint.hpp
+++ b/src/node/peer_endpoint.hpp
@@ -28,7 +28,7 @@
  private:
   using Reply = std::function<void(const std::string& json)>;
   void handleBody(const http::ServerExchange::Ptr& exchange, const std::string& body);
-  void dispatch(const http::ServerExchange::Ptr& exchange, const nlohmann::json& message,
+  void dispatch(const http::ServerExchange::Ptr& exchange, nlohmann::json message,
                 const Reply& reply);
   void handleRegisterRequest(const http::ServerExchange::Ptr& exchange,
                              const nlohmann::json& message, const Reply& reply);
--- a/tests/compatibility/fixture_writer.cpp
+++ b/tests/compatibility/fixture_writer.cpp
@@ -627,34 +627,19 @@
         membership::NodeInfo{n.id, ZoneName("z"), core, false, false, 0, Incarnation{}},
         Incarnation{nextLife_++});
     nodes_[id] = std::move(node);
-    gossip::GossipService::Environment world;
-    world.now = [this] { return now_; };
-    world.readClock = world.now;
-    world.after = [this](Duration wait, std::function<void()> work) {
-      timers_.emplace(std::make_pair(now_ + wait, ++lastTimer_), std::move(work));
-      return lastTimer_;
-    };
-    world.cancel = [this](std::uint64_t timer) {
-      std::erase_if(timers_, [&](const auto& entry) { return entry.first.second == timer; });
-    };
-    world.send = [this, &n](const NodeId& to, const json& body, Duration limit,
-                            std::function<void(std::optional<json>)> answer) {
-      post(n, to, body.dump(), limit, std::move(answer));
-    };
-    n.roster = std::make_unique<gossip::GossipService>(gossip::GossipService::Dependencies{
-        world, n.id, ZoneName("z"), [this]() -> const std::vector<NodeId>& { return seeds_; },
-        *n.book, [&n]() -> const consensus::RegisterValue& { return n.known; },
-        [&n](std::uint64_t) -> const std::string& {
-          n.text = toJson(n.known).dump();
-          return n.text;
-        },
-        [](const json& j) { return consensus::valueFromJson(j); },
-        [&n](const consensus::RegisterValue& value) {
-          if (value.sequence > n.known.sequence) n.known = value;
-        },
-        n.evidence, [this]() -> std::optional<TimePoint> { return now_; }, [] {}, core, true,
-        Duration(0), std::chrono::milliseconds(300), Duration(0)});
+    n.environment = std::make_unique<Environment>(*this, n);
+    n.replica = std::make_unique<Replica>(*this, n);
+    gossip::GossipOptions options;
+    options.self = n.id;
+    options.zone = ZoneName("z");
+    options.seeds = seeds_;
+    options.isControlNode = core;
+    options.fullSyncInterval = std::chrono::milliseconds(300);
+    n.roster = std::make_unique<gossip::GossipService>(
+        gossip::GossipDependencies{*n.environment, *n.book, *n.replica, n.evidence},
+        std::move(options), observer_);
   }
+  // Seeds are named before the nodes that are to know them.
   void seed(const std::string& id) { seeds_.emplace_back(id); }
   InstanceRegistry& book(const std::string& id) { return *nodes_.at(id)->book; }
   void stop(const std::string& id) { nodes_.at(id)->up = false; }
@@ -691,8 +676,60 @@
     consensus::RegisterValue known;
     std::string text;
     consensus::StalenessBound evidence;
+    std::unique_ptr<gossip::Environment> environment;
+    std::unique_ptr<consensus::RegisterReplica> replica;
     std::unique_ptr<gossip::GossipService> roster;
   };
+
+  class Environment final : public gossip::Environment {
+   public:
+    Environment(Simulation& simulation, Node& node) : simulation_(simulation), node_(node) {}
+    [[nodiscard]] TimePoint now() const override { return simulation_.now_; }
+    [[nodiscard]] TimePoint readClock() const override { return simulation_.now_; }
+    TimerId runAfter(Duration delay, std::function<void()> task) override {
+      const auto timer = ++simulation_.lastTimer_;
+      simulation_.timers_.emplace(std::make_pair(simulation_.now_ + delay, timer), std::move(task));
+      return timer;
+    }
+    void cancel(TimerId timer) override {
+      std::erase_if(simulation_.timers_,
+                    [&](const auto& entry) { return entry.first.second == timer; });
+    }
+    void sendPull(const NodeId& to, const json& message, Duration timeout,
+                  ResponseCallback onResponse) override {
+      simulation_.post(node_, to, message.dump(), timeout, std::move(onResponse));
+    }
+
+   private:
+    Simulation& simulation_;
+    Node& node_;
+  };
+
+  class Replica final : public consensus::RegisterReplica {
+   public:
+    Replica(const Simulation& simulation, Node& node) : simulation_(simulation), node_(node) {}
+    [[nodiscard]] const consensus::RegisterValue& committedValue() const override {
+      return node_.known;
+    }
+    [[nodiscard]] const std::string& committedValueJson(std::uint64_t) override {
+      node_.text = toJson(node_.known).dump();
+      return node_.text;
+    }
+    [[nodiscard]] consensus::RegisterValue decodeValue(const json& encoded) const override {
+      return consensus::valueFromJson(encoded);
+    }
+    void learn(const consensus::RegisterValue& value) override {
+      if (value.sequence > node_.known.sequence) node_.known = value;
+    }
+    [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override {
+      return simulation_.now_;
+    }
+
+   private:
+    const Simulation& simulation_;
+    Node& node_;
+  };
+
   void post(Node& from, const NodeId& to, const std::string& body, Duration limit,
             std::function<void(std::optional<json>)> answer) {
     auto told = std::make_shared<bool>(false);
@@ -716,6 +753,7 @@
   std::uint64_t nextLife_ = 1000;
   std::uint64_t lastTimer_ = 0;
   std::vector<NodeId> seeds_;
+  gossip::GossipObserver observer_;
   std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> timers_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
 };
--- a/tests/compatibility/stored_and_peer_formats_test.cpp
+++ b/tests/compatibility/stored_and_peer_formats_test.cpp
@@ -633,30 +633,17 @@
   };
 
   Post(const NodeId& id, bool core, Incarnation incarnation, std::vector<NodeId> seeds)
-      : id_(id),
-        seeds_(std::move(seeds)),
-        book(membership::NodeInfo{id, ZoneName("z"), core, false, false, 0, Incarnation{}},
+      : book(membership::NodeInfo{id, ZoneName("z"), core, false, false, 0, Incarnation{}},
              incarnation) {
-    GossipService::Environment world;
-    world.now = [] { return kNow; };
-    world.readClock = [] { return kNow; };
-    world.after = [this](Duration, std::function<void()>) { return ++timers_; };
-    world.cancel = [](std::uint64_t) {};
-    world.send = [this](const NodeId& to, const json& body, Duration,
-                        std::function<void(std::optional<json>)> answer) {
-      said.push_back({to, body, std::move(answer)});
-    };
-    roster = std::make_unique<GossipService>(GossipService::Dependencies{
-        world, id_, ZoneName("z"), [this]() -> const std::vector<NodeId>& { return seeds_; }, book,
-        [this]() -> const RegisterValue& { return known; },
-        [this](std::uint64_t has) -> const std::string& {
-          text_ = toJson(known, {has, 0, false}, &shelf).dump();
-          return text_;
-        },
-        [this](const json& j) { return consensus::valueFromJson(j, &shelf); },
-        [this](const RegisterValue& value) { known = value; }, evidence,
-        []() -> std::optional<TimePoint> { return kNow; }, [] {}, core, true, Duration(0),
-        std::chrono::milliseconds(300), Duration(0)});
+    gossip::GossipOptions options;
+    options.self = id;
+    options.zone = ZoneName("z");
+    options.seeds = std::move(seeds);
+    options.isControlNode = core;
+    options.fullSyncInterval = std::chrono::milliseconds(300);
+    roster = std::make_unique<GossipService>(
+        gossip::GossipDependencies{environment_, book, replica_, evidence}, std::move(options),
+        observer_);
   }
   json serve(const json& pull) {
     json out;
@@ -667,10 +654,45 @@
   static constexpr TimePoint kNow = TimePoint(std::chrono::hours(1));
 
  private:
-  NodeId id_;
-  std::vector<NodeId> seeds_;
-  std::string text_;
-  std::uint64_t timers_ = 0;
+  class Environment final : public gossip::Environment {
+   public:
+    explicit Environment(Post& post) : post_(post) {}
+    [[nodiscard]] TimePoint now() const override { return kNow; }
+    [[nodiscard]] TimePoint readClock() const override { return kNow; }
+    TimerId runAfter(Duration, std::function<void()>) override { return ++timers_; }
+    void cancel(TimerId) override {}
+    void sendPull(const NodeId& to, const json& message, Duration,
+                  ResponseCallback onResponse) override {
+      post_.said.push_back({to, message, std::move(onResponse)});
+    }
+
+   private:
+    Post& post_;
+    TimerId timers_ = 0;
+  };
+
+  class Replica final : public consensus::RegisterReplica {
+   public:
+    explicit Replica(Post& post) : post_(post) {}
+    [[nodiscard]] const RegisterValue& committedValue() const override { return post_.known; }
+    [[nodiscard]] const std::string& committedValueJson(std::uint64_t has) override {
+      text_ = toJson(post_.known, {has, 0, false}, &post_.shelf).dump();
+      return text_;
+    }
+    [[nodiscard]] RegisterValue decodeValue(const json& encoded) const override {
+      return consensus::valueFromJson(encoded, &post_.shelf);
+    }
+    void learn(const RegisterValue& value) override { post_.known = value; }
+    [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override { return kNow; }
+
+   private:
+    Post& post_;
+    std::string text_;
+  };
+
+  Environment environment_{*this};
+  Replica replica_{*this};
+  gossip::GossipObserver observer_;
 
  public:
   InstanceRegistry book;
--- a/tests/loopback/hostile_input_test.cpp
+++ b/tests/loopback/hostile_input_test.cpp
@@ -375,17 +375,65 @@
   return document.dump();
 }
 
+// A register that never changes.
+class FixedReplica final : public consensus::RegisterReplica {
+ public:
+  FixedReplica(const Clock& clock, const consensus::StalenessBound& bound)
+      : clock_(clock), bound_(bound) {}
+  [[nodiscard]] const consensus::RegisterValue& committedValue() const override { return value; }
+  [[nodiscard]] const std::string& committedValueJson(std::uint64_t has) override {
+    return text_ = toJson(value, consensus::ReceiverState{has, 0, false}).dump();
+  }
+  [[nodiscard]] consensus::RegisterValue decodeValue(const json& encoded) const override {
+    return consensus::valueFromJson(encoded);
+  }
+  void learn(const consensus::RegisterValue&) override {}
+  [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override {
+    return bound_.ownAsOf(clock_.now());
+  }
+  consensus::RegisterValue value;
+
+ private:
+  const Clock& clock_;
+  const consensus::StalenessBound& bound_;
+  std::string text_;
+};
+
+// Simulated time; messages go where the test says.
+class HostileEnvironment final : public gossip::Environment {
+ public:
+  using Send = std::function<void(const json&, const ResponseCallback&)>;
+  HostileEnvironment(Clock& clock, Send send) : clock_(clock), send_(std::move(send)) {}
+  [[nodiscard]] TimePoint now() const override { return clock_.now(); }
+  [[nodiscard]] TimePoint readClock() const override { return clock_.now(); }
+  TimerId runAfter(Duration delay, std::function<void()> task) override {
+    clock_.after(toMillis(delay) + 1, std::move(task));
+    return 0;
+  }
+  void cancel(TimerId) override {}
+  void sendPull(const NodeId&, const json& message, Duration,
+                ResponseCallback onResponse) override {
+    send_(message, onResponse);
+  }
+
+ private:
+  Clock& clock_;
+  Send send_;
+};
+
 // Two rosters that pull from each other over a wire that spoils half of what it carries.
 void news(std::uint64_t seed, std::size_t& heard, std::size_t& refused) {
   Clock clock(seed);
   struct Side {
+    explicit Side(const Clock& clock) : replica(clock, evidence) {}
+    consensus::StalenessBound evidence;
+    FixedReplica replica;
     std::unique_ptr<membership::InstanceRegistry> book;
+    std::unique_ptr<HostileEnvironment> environment;
     std::unique_ptr<gossip::GossipService> roster;
-    consensus::RegisterValue value;
-    consensus::StalenessBound evidence;
-    std::string text;
   };
-  std::array<Side, 2> sides;
+  gossip::GossipObserver observer;
+  std::array<Side, 2> sides = {Side(clock), Side(clock)};
   const std::vector<NodeId> ids = {NodeId("10.0.0.1"), NodeId("10.0.0.2")};
   const auto damaged = [&](const std::string& text) {
     return clock.chance(0.5) ? spoiledJson(text, clock.random) : text;
@@ -405,17 +453,10 @@
                        third.entriesAbove(membership::VersionVector(third.sourceTable())),
                        clock.now());
     }
-    side.value.voters = ids;
-    side.value.config = config::ConfigText::create(R"({"revision":1})");
-    gossip::GossipService::Environment world;
-    world.now = world.readClock = [&clock] { return clock.now(); };
-    world.after = [&clock](Duration wait, std::function<void()> then) {
-      clock.after(toMillis(wait) + 1, std::move(then));
-      return std::uint64_t{0};
-    };
-    world.cancel = [](std::uint64_t) {};
-    world.send = [&, i](const NodeId&, const json& body, Duration,
-                        const std::function<void(std::optional<json>)>& answer) {
+    side.replica.value.voters = ids;
+    side.replica.value.config = config::ConfigText::create(R"({"revision":1})");
+    const auto send = [&, i](const json& body,
+                             const gossip::Environment::ResponseCallback& answer) {
       const auto document = json::parse(damaged(body.dump()), nullptr, false);
       auto told = std::make_shared<bool>(false);
       const auto tell = [told, answer, &damaged, &clock](const std::optional<std::string>& said) {
@@ -440,17 +481,16 @@
       });
       clock.after(3000, [tell] { tell(std::nullopt); });
     };
-    side.roster = std::make_unique<gossip::GossipService>(gossip::GossipService::Dependencies{
-        std::move(world), ids[i], ZoneName("z"),
-        [&ids]() -> const std::vector<NodeId>& { return ids; }, *side.book,
-        [&side]() -> const consensus::RegisterValue& { return side.value; },
-        [&side](std::uint64_t has) -> const std::string& {
-          return side.text = toJson(side.value, consensus::ReceiverState{has, 0, false}).dump();
-        },
-        [](const json& j) { return consensus::valueFromJson(j); },
-        [](const consensus::RegisterValue&) {}, side.evidence,
-        [&side, &clock] { return side.evidence.ownAsOf(clock.now()); }, [] {}, i == 0, true,
-        Duration(0), std::chrono::milliseconds(30), Duration(0)});
+    side.environment = std::make_unique<HostileEnvironment>(clock, send);
+    gossip::GossipOptions options;
+    options.self = ids[i];
+    options.zone = ZoneName("z");
+    options.seeds = ids;
+    options.isControlNode = i == 0;
+    options.fullSyncInterval = std::chrono::milliseconds(30);
+    side.roster = std::make_unique<gossip::GossipService>(
+        gossip::GossipDependencies{*side.environment, *side.book, side.replica, side.evidence},
+        std::move(options), observer);
   }
   for (int turn = 0; turn < 200; ++turn) {
     for (auto& side : sides) {
--- a/tests/loopback/lightweight_node.hpp
+++ b/tests/loopback/lightweight_node.hpp
@@ -12,6 +12,7 @@
 #include "gossip/gossip_service.hpp"
 #include "http/server_connection.hpp"
 #include "membership/instance_registry.hpp"
+#include "node/gossip_environment.hpp"
 #include "rpc/peer_rpc.hpp"
 
 namespace merlingauge::test {
@@ -46,6 +47,7 @@
     roster_->stop();
     door_.reset();
     roster_.reset();
+    environment_.reset();
     wire_.reset();
     book_.reset();
     value_ = {};
@@ -76,6 +78,49 @@
   [[nodiscard]] std::int64_t revision() const { return value_.revision().value; }
 
  private:
+  // A timer of a node that has been restarted since does nothing.
+  class Environment final : public node::GossipEnvironment {
+   public:
+    Environment(Hollow& owner, int incarnation)
+        : node::GossipEnvironment(owner.bell_, *owner.wire_),
+          owner_(owner),
+          incarnation_(incarnation) {}
+    TimerId runAfter(Duration delay, std::function<void()> task) override {
+      return node::GossipEnvironment::runAfter(
+          delay, [&owner = owner_, incarnation = incarnation_, task = std::move(task)] {
+            if (incarnation == owner.life_) task();
+          });
+    }
+
+   private:
+    Hollow& owner_;
+    int incarnation_;
+  };
+
+  // Without an acceptor: it learns committed values by gossip only.
+  class Replica final : public consensus::RegisterReplica {
+   public:
+    explicit Replica(Hollow& owner) : owner_(owner) {}
+    [[nodiscard]] const consensus::RegisterValue& committedValue() const override {
+      return owner_.value_;
+    }
+    [[nodiscard]] const std::string& committedValueJson(std::uint64_t has) override {
+      owner_.text_ =
+          consensus::toJson(owner_.value_, {owner_.shelf_.find(has) ? has : 0}, &owner_.shelf_)
+              .dump();
+      return owner_.text_;
+    }
+    [[nodiscard]] consensus::RegisterValue decodeValue(
+        const nlohmann::json& encoded) const override {
+      return consensus::valueFromJson(encoded, &owner_.shelf_);
+    }
+    void learn(const consensus::RegisterValue& value) override { owner_.learn(value); }
+    [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override { return std::nullopt; }
+
+   private:
+    Hollow& owner_;
+  };
+
   [[nodiscard]] std::uint64_t bytes() const {
     const auto& t = wire_->traffic();
     return t.requestBytesSent + t.responseBytesReceived + t.requestBytesReceived +
@@ -95,40 +140,25 @@
     book_ = std::make_unique<membership::InstanceRegistry>(
         membership::NodeInfo{terms_.id, terms_.zone, false, false, false, 0, Incarnation{}},
         Incarnation{clock});
-    gossip::GossipService::Environment world;
-    world.now = [this] { return bell_.now(); };
-    world.readClock = [] { return event::EventLoop::readClock(); };
-    world.after = [this](Duration wait, event::EventLoop::Task work) {
-      return bell_.after(wait, [this, incarnation = life_, work = std::move(work)] {
-        if (incarnation == life_) work();
-      });
-    };
-    world.cancel = [this](event::EventLoop::TimerId id) { bell_.cancel(id); };
-    world.send = [this](const NodeId& to, const nlohmann::json& body, Duration limit,
-                        rpc::PeerRpc::ResponseCallback answer) {
-      wire_->call(to, "/news", body, limit, std::move(answer));
-    };
-    roster_ = std::make_unique<gossip::GossipService>(gossip::GossipService::Dependencies{
-        std::move(world), terms_.id, terms_.zone,
-        [this]() -> const std::vector<NodeId>& { return terms_.seeds; }, *book_,
-        [this]() -> const consensus::RegisterValue& { return value_; },
-        [this](std::uint64_t has) -> const std::string& {
-          text_ = consensus::toJson(value_, {shelf_.find(has) ? has : 0}, &shelf_).dump();
-          return text_;
-        },
-        [this](const nlohmann::json& j) { return consensus::valueFromJson(j, &shelf_); },
-        [this](const consensus::RegisterValue& value) { learn(value); }, evidence_,
-        []() -> std::optional<TimePoint> { return std::nullopt; }, [] {}, false, true,
-        std::chrono::milliseconds(80), std::chrono::milliseconds(30), Duration(0)});
+    environment_ = std::make_unique<Environment>(*this, life_);
+    gossip::GossipOptions options;
+    options.self = terms_.id;
+    options.zone = terms_.zone;
+    options.seeds = terms_.seeds;
+    options.updateInterval = std::chrono::milliseconds(80);
+    options.fullSyncInterval = std::chrono::milliseconds(30);
+    roster_ = std::make_unique<gossip::GossipService>(
+        gossip::GossipDependencies{*environment_, *book_, replica_, evidence_}, std::move(options),
+        observer_);
     door_ = std::make_unique<http::HttpListener>(
         bell_, Poco::Net::SocketAddress(terms_.id.str(), terms_.port), 256);
     door_->context->limits.maxBodyBytes = 16U << 20;
     door_->context->onExchange = [this](const http::ServerExchange::Ptr& exchange) {
       rpc::whenBodyComplete(exchange, [this, exchange](const std::string& body) {
         wire_->countRequest(body.size());
-        const auto document = nlohmann::json::parse(body, nullptr, false);
+        auto document = nlohmann::json::parse(body, nullptr, false);
         try {
-          roster_->handlePull(document, [this, exchange](const std::string& answer) {
+          roster_->handlePull(std::move(document), [this, exchange](const std::string& answer) {
             wire_->countResponse(answer.size());
             exchange->respond(200, "OK", answer, "application/json");
           });
@@ -162,6 +192,9 @@
   std::string text_;
   std::unique_ptr<membership::InstanceRegistry> book_;
   std::unique_ptr<rpc::PeerRpc> wire_;
+  gossip::GossipObserver observer_;
+  Replica replica_{*this};
+  std::unique_ptr<Environment> environment_;
   std::unique_ptr<gossip::GossipService> roster_;
   std::unique_ptr<http::HttpListener> door_;
 };
--- a/tests/simulation/gossip_world.cpp
+++ b/tests/simulation/gossip_world.cpp
@@ -34,6 +34,9 @@
   std::string text;
   std::vector<NodeId> seeds;
   std::unique_ptr<InstanceRegistry> book;
+  std::unique_ptr<gossip::Environment> environment;
+  std::unique_ptr<consensus::RegisterReplica> replica;
+  std::unique_ptr<gossip::GossipObserver> observer;
   std::unique_ptr<GossipService> roster;
   std::uint64_t lowest = 0;  // what it must not fall below within a life
   StalenessBound evidence;
@@ -146,48 +149,89 @@
     post.book = std::make_unique<InstanceRegistry>(
         membership::NodeInfo{post.id, post.zone, post.core, false, false, 0, Incarnation{}},
         Incarnation{clock_.random() % 1000 + 1});
-    GossipService::Environment world;
-    world.now = [this] { return clock_.now(); };
-    world.readClock = world.now;
-    world.after = [this, &post, incarnation = post.life](Duration wait,
-                                                         std::function<void()> work) {
-      const auto id = ++timers_;
-      clock_.at(clock_.now() + wait, [this, &post, incarnation, id, work = std::move(work)] {
-        if (cancelled_.erase(id) == 0 && post.life == incarnation) work();
-      });
-      return id;
-    };
-    world.cancel = [this](std::uint64_t id) { cancelled_.insert(id); };
-    world.send = [this, &post](const NodeId& to, const json& body, Duration limit,
-                               std::function<void(std::optional<json>)> answer) {
-      send(post, to, body.dump(), limit, std::move(answer));
-    };
-    post.roster = std::make_unique<GossipService>(GossipService::Dependencies{
-        world, post.id, post.zone, [&post]() -> const std::vector<NodeId>& { return post.seeds; },
-        *post.book, [&post]() -> const RegisterValue& { return post.known; },
-        [&post](std::uint64_t) -> const std::string& {
-          post.text = toJson(post.known).dump();
-          return post.text;
-        },
-        [](const json& j) { return consensus::valueFromJson(j); },
-        [this, &post](const RegisterValue& value) { learn(post, value); }, post.evidence,
-        [this, &post]() -> std::optional<TimePoint> {
-          if (voters_.empty()) return clock_.now();  // values come from nowhere
-          if (!post.ledge) return std::nullopt;
-          return faults_.contains("ahead") ? clock_.now() : post.evidence.ownAsOf(clock_.now());
-        },
-        [] {}, post.core, number(s_, "edges", 0) == 0, fromMillis(number(s_, "pace", 10)),
-        fromMillis(number(s_, "let_in", 3)), Duration(0)});
+    post.environment = std::make_unique<Environment>(*this, post);
+    post.replica = std::make_unique<Replica>(*this, post);
+    post.observer = std::make_unique<Observer>(*this, post);
+    gossip::GossipOptions options;
+    options.self = post.id;
+    options.zone = post.zone;
+    options.seeds = post.seeds;
+    options.isControlNode = post.core;
+    options.receivesHeartbeats = number(s_, "edges", 0) == 0;
+    options.updateInterval = fromMillis(number(s_, "pace", 10));
+    options.fullSyncInterval = fromMillis(number(s_, "let_in", 3));
+    post.roster = std::make_unique<GossipService>(
+        gossip::GossipDependencies{*post.environment, *post.book, *post.replica, post.evidence},
+        std::move(options), *post.observer);
     if (!post.core) return;
     // As a restarted node does: what others may know already can wait.
     post.book->throttleUpdatesUntil(clock_.now() + fromMillis(post.life > 1 ? 1500 : 0));
-    post.roster->onFirstContact = [this, &post](const NodeId& node) {
-      if (at(node.str()).core) return;
-      post.book->throttleUpdatesUntil(clock_.now());
-      if (post.book->releaseThrottledUpdates(clock_.now())) post.roster->notifyUpdate();
-    };
   }
 
+  // Of one life of a node: what was started before its end does nothing afterwards.
+  class Environment final : public gossip::Environment {
+   public:
+    Environment(NewsWorld& world, Post& post) : world_(world), post_(post) {}
+    [[nodiscard]] TimePoint now() const override { return world_.clock_.now(); }
+    [[nodiscard]] TimePoint readClock() const override { return world_.clock_.now(); }
+    TimerId runAfter(Duration wait, std::function<void()> work) override {
+      const auto id = ++world_.timers_;
+      world_.clock_.at(
+          world_.clock_.now() + wait,
+          [&world = world_, &post = post_, incarnation = post_.life, id, work = std::move(work)] {
+            if (world.cancelled_.erase(id) == 0 && post.life == incarnation) work();
+          });
+      return id;
+    }
+    void cancel(TimerId id) override { world_.cancelled_.insert(id); }
+    void sendPull(const NodeId& to, const json& body, Duration limit,
+                  ResponseCallback answer) override {
+      world_.send(post_, to, body.dump(), limit, std::move(answer));
+    }
+
+   private:
+    NewsWorld& world_;
+    Post& post_;
+  };
+
+  class Replica final : public consensus::RegisterReplica {
+   public:
+    Replica(NewsWorld& world, Post& post) : world_(world), post_(post) {}
+    [[nodiscard]] const RegisterValue& committedValue() const override { return post_.known; }
+    [[nodiscard]] const std::string& committedValueJson(std::uint64_t) override {
+      post_.text = toJson(post_.known).dump();
+      return post_.text;
+    }
+    [[nodiscard]] RegisterValue decodeValue(const json& encoded) const override {
+      return consensus::valueFromJson(encoded);
+    }
+    void learn(const RegisterValue& value) override { world_.learn(post_, value); }
+    [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override {
+      const TimePoint now = world_.clock_.now();
+      if (world_.voters_.empty()) return now;  // values come from nowhere
+      if (!post_.ledge) return std::nullopt;
+      return world_.faults_.contains("ahead") ? now : post_.evidence.ownAsOf(now);
+    }
+
+   private:
+    NewsWorld& world_;
+    Post& post_;
+  };
+
+  class Observer final : public gossip::GossipObserver {
+   public:
+    Observer(NewsWorld& world, Post& post) : world_(world), post_(post) {}
+    void onFirstContact(const NodeId& node) override {
+      if (!post_.core || world_.at(node.str()).core) return;
+      post_.book->throttleUpdatesUntil(world_.clock_.now());
+      if (post_.book->releaseThrottledUpdates(world_.clock_.now())) post_.roster->notifyUpdate();
+    }
+
+   private:
+    NewsWorld& world_;
+    Post& post_;
+  };
+
   void learn(Post& post, const RegisterValue& value) {
     if (value.sequence <= post.known.sequence) return;
     post.known = value;
