--- a/src/control/acceptor_host.cpp
+++ b/src/control/acceptor_host.cpp
@@ -4,6 +4,7 @@
 
 #include <string>
 #include <utility>
+#include <variant>
 
 namespace merlingauge::control {
 
@@ -30,7 +31,8 @@
 
 Acceptor AcceptorHost::loadAcceptor(const RegisterServiceOptions& options,
                                     std::mt19937_64& random) {
-  if (auto stored = store_.load()) {
+  auto loaded = store_.load();
+  if (auto* stored = std::get_if<storage::StoredState>(&loaded)) {
     const Acceptor::PersistedState state{stored->head,
                                          config::ConfigText::create(std::move(stored->configText))};
     if (auto restored = Acceptor::restore(options.self, state)) {
@@ -42,7 +44,7 @@
     }
   }
   // Where something was stored and can't be read, promises may be among it.
-  const bool damaged = store_.loadStatus() != storage::DurableStore::LoadStatus::empty;
+  const bool damaged = !std::holds_alternative<storage::NothingStored>(loaded);
   if (options.bootstrap && !damaged) {
     logger().information("first start, empty state");
     return Acceptor(options.self, consensus::firstIncarnation(random()), true);
@@ -80,10 +82,11 @@
 // A reply that changed nothing still waits for the writes before it: they may hold what it tells.
 void AcceptorHost::persistThenReply(bool mustSync, const RegisterReply& reply,
                                     ReplyCallback onReply) {
-  auto onWritten = [this, reply, onReply = std::move(onReply)](bool written) {
-    if (!written) {
+  auto onWritten = [this, reply,
+                    onReply = std::move(onReply)](const storage::StorageResult& error) {
+    if (error) {
       unsaved_ = true;
-      logger().error("the disk refuses: " + store_.error());
+      logger().error("the disk refuses: " + error->message());
       onReply(std::nullopt);
       return;
     }
@@ -97,7 +100,7 @@
   }
 }
 
-storage::DurableStore::Record AcceptorHost::persistedRecord() const {
+storage::StateRecord AcceptorHost::persistedRecord() const {
   auto state = acceptor_.persistedState();
   return {std::move(state.head), std::move(state.configText)};
 }
@@ -110,7 +113,9 @@
   logger().information("promises read from the other voters, voting again");
   // Saved at once and not with the next reply: an acceptor that is no voter may not be asked for
   // long, and would have to recover again after a restart.
-  store_.save(persistedRecord(), [this](bool written) { unsaved_ = unsaved_ || !written; });
+  store_.save(persistedRecord(), [this](const storage::StorageResult& error) {
+    unsaved_ = unsaved_ || error.has_value();
+  });
   return true;
 }
 
--- a/src/control/acceptor_host.hpp
+++ b/src/control/acceptor_host.hpp
@@ -52,7 +52,7 @@
   [[nodiscard]] bool exceedsDisk(const consensus::RegisterRequest& request) const;
   void persistThenReply(bool mustSync, const consensus::RegisterReply& reply,
                         ReplyCallback onReply);
-  [[nodiscard]] storage::DurableStore::Record persistedRecord() const;
+  [[nodiscard]] storage::StateRecord persistedRecord() const;
 
   event::EventLoop& loop_;
   storage::DurableStore& store_;
--- a/src/storage/durable_store.hpp
+++ b/src/storage/durable_store.hpp
@@ -1,97 +1,81 @@
-// cellar: the disk of a core node. LMDB belongs to one thread of its own; the loop hands work over
-// and hears back, so a disk that hangs holds up promises, never the loop.
-//
-// LMDB chooses between two meta pages by their number alone, and writes the newer one last: a torn
-// one could be taken for good. So every commit is sealed in a file beside it before it counts, and
-// before LMDB opens, a meta page that no seal knows is replaced by the one that it was to follow.
+// durable_store: saves a voter's state from the event loop without ever blocking it.
 #pragma once
 
 #include <atomic>
 #include <condition_variable>
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <functional>
-#include <memory>
 #include <mutex>
 #include <optional>
 #include <string>
 #include <thread>
 #include <vector>
 
-#include "config/config_text.hpp"
 #include "event/event_loop.hpp"
-
-struct MDB_env;
+#include "storage/directory_lock.hpp"
+#include "storage/state_database.hpp"
 
 namespace merlingauge::storage {
 
+/// The disk of a control node. The public functions belong to the event-loop thread; the store owns
+/// one storage thread, which alone uses the database once start() has been called. A disk that
+/// hangs therefore holds up the replies that rest on it, never the event loop.
 class DurableStore {
  public:
-  using WriteCallback = std::function<void(bool ok)>;
-  struct Record {
-    std::string head;
-    config::ConfigText::Ptr configText;  // large and seldom changed: written only when it has
-  };
-  struct StoredState {
-    std::string head;
-    std::string configText;
-  };
-  enum class LoadStatus : std::uint8_t { empty, loaded, corrupt };
+  /// Runs on the event-loop thread. Empty: the state is on the disk.
+  using WriteCallback = std::function<void(const StorageResult& error)>;
 
-  DurableStore(event::EventLoop& loop, std::string folder, std::size_t bytes);
+  /// `loop` has to outlive the store. For `directory` and `mapBytes` see StateDatabase.
+  DurableStore(event::EventLoop& loop, std::string directory, std::size_t mapBytes);
+  /// Waits for the write under way; writes still queued are dropped, their callbacks too.
   ~DurableStore();
   DurableStore(const DurableStore&) = delete;
   DurableStore& operator=(const DurableStore&) = delete;
 
-  // False while a process holds the folder.
-  static bool isUnused(const std::string& folder);
-  // Before `start`: what was saved, if it is there and whole. What is damaged is put aside.
-  std::optional<StoredState> load();
-  [[nodiscard]] LoadStatus loadStatus() const { return loadStatus_; }
+  /// What was saved. Blocks, and only before start().
+  [[nodiscard]] LoadResult load();
+  /// Marks the directory as in use and starts the storage thread.
   void start();
-  // Writes and syncs the record; later saves that wait together are written as one.
-  void save(Record record, WriteCallback done);
-  // Runs after everything handed in before, without writing.
+  /// Queues the state to be written and flushed. States that wait in the queue together are written
+  /// as one, the last of them, since each holds everything before it.
+  void save(StateRecord record, WriteCallback done);
+  /// Calls back once everything queued before is on the disk, without a write of its own; with the
+  /// error of the last of these writes if it failed.
   void afterPendingWrites(WriteCallback done);
-  [[nodiscard]] std::size_t pendingWrites();
-  // The largest text that can be saved again and again: the one before stays until a new one is
-  // whole, and freed pages are not always in one piece.
-  [[nodiscard]] std::size_t maxTextBytes() const { return mapBytes_ / 5; }
-  // How often something was written and synced since the start.
+
+  /// The largest configuration text that can be saved again and again, in bytes.
+  [[nodiscard]] std::size_t maxTextBytes() const { return mapBytes_ / kMapBytesPerTextByte; }
+  /// How many times a state was written and flushed since the start.
   [[nodiscard]] std::uint64_t commitCount() const { return commitCount_; }
-  [[nodiscard]] const std::string& error() const { return error_; }
-  // The write itself, on the calling thread; for `work` and for tests.
-  bool commit(const Record& record);
 
  private:
+  // One turn of the storage thread.
   struct Job {
-    std::optional<Record> record;
-    std::vector<WriteCallback> done;
+    std::optional<StateRecord> record;  // none: only callbacks
+    std::vector<WriteCallback> callbacks;
   };
-  void work();
-  bool open();
-  void closeEnv();
-  bool failed(const std::string& what);
-  LoadStatus repairMetaPages();
-  bool writeCommitRecord();
-  void quarantine();
-  [[nodiscard]] std::string file(const char* name) const { return directory_ + "/" + name; }
+
+  // The text before stays in the file until the new one is committed, and freed pages are not
+  // always in one piece.
+  static constexpr std::size_t kMapBytesPerTextByte = 5;
+
+  void runStorageThread();
+  // Waits for a job; none once the store is to stop.
+  std::optional<Job> nextJob();
+  StorageResult run(const Job& job);
 
   event::EventLoop& loop_;
   std::string directory_;
-  int directoryLock_ = -1;  // the folder, marked as in use
   std::size_t mapBytes_;
-  MDB_env* env_ = nullptr;
-  unsigned dbi_ = 0;
-  std::uint64_t storedTextId_ = 0;   // the text that is on the disk
-  std::uint64_t commitRecords_ = 0;  // how many have been written
+  StateDatabase database_;
+  std::optional<DirectoryLock> directoryLock_;
   std::atomic<std::uint64_t> commitCount_{0};
-  LoadStatus loadStatus_ = LoadStatus::empty;
-  std::string error_;
-  std::mutex lock_;
-  std::condition_variable wake_;
+  std::mutex mutex_;  // guards jobs_ and stopping_
+  std::condition_variable jobsChanged_;
   std::deque<Job> jobs_;
-  bool stop_ = false;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
--- a/src/storage/state_snapshot.cpp
+++ b/src/storage/state_snapshot.cpp
@@ -1,211 +1,220 @@
 #include "storage/state_snapshot.hpp"
 
-#include <Poco/SHA1Engine.h>
 #include <fcntl.h>
 #include <unistd.h>
 
-#include <algorithm>
 #include <chrono>
 #include <filesystem>
 #include <fstream>
-#include <nlohmann/json.hpp>
+#include <optional>
 #include <random>
 #include <sstream>
 #include <thread>
+#include <utility>
+#include <variant>
 
-#include "consensus/register.hpp"
+#include "base/decode_error.hpp"
+#include "storage/directory_lock.hpp"
+#include "storage/file_descriptor.hpp"
+#include "storage/snapshot_codec.hpp"
+#include "storage/state_database.hpp"
+#include "storage/store_layout.hpp"
 
 namespace merlingauge::storage {
 
-using nlohmann::json;
 namespace fs = std::filesystem;
-using End = SnapshotResult::Status;
+using Status = SnapshotResult::Status;
 
 namespace {
-constexpr const char* kFormat = "merlingauge snapshot";
-constexpr int kVersion = 1;
-constexpr std::size_t kMostLine = 4096;
-constexpr std::uintmax_t kMostFile = 128U << 20U;
-constexpr int kTries = 100;
-constexpr auto kPause = std::chrono::milliseconds(20);
-
-std::string checksum(const std::string& head, const std::string& text) {
-  Poco::SHA1Engine engine;
-  engine.update(std::to_string(head.size()) + "/" + head + text);
-  return Poco::DigestEngine::digestToHex(engine.digest());
-}
 
-std::string contents(const fs::path& path) {
-  const std::ifstream in(path, std::ios::binary);
+// A store's map is at most 64 MB, so a state is well below it; a larger file is something else.
+constexpr std::uintmax_t kMaxSnapshotBytes = 128U << 20U;
+// A copy is good if no commit fell into it. A voter commits some times a second at the most, and a
+// copy takes milliseconds: two seconds of attempts find a gap.
+constexpr int kMaxCopyAttempts = 100;
+constexpr auto kCopyRetryPause = std::chrono::milliseconds(20);
+// From this attempt on, an unchanged copy that can't be read is a damaged store. Earlier ones may
+// fall between the meta page and the commit record of a process that just opened its files.
+constexpr int kAttemptsBeforeDamaged = 3;
+// Room for LMDB to open a copy: it needs no more than the file, and never less than its minimum.
+constexpr std::size_t kCopyMapSlackBytes = 1U << 20U;
+// The map for the one write of a restore: what DurableStore asks for a text, and room for the head.
+constexpr std::size_t kMapBytesPerTextByte = 5;
+constexpr std::size_t kRestoreMapSlackBytes = 8U << 20U;
+
+std::string contentsOf(const fs::path& path) {
+  const std::ifstream file(path, std::ios::binary);
   std::stringstream bytes;
-  bytes << in.rdbuf();
+  bytes << file.rdbuf();
   return bytes.str();
 }
 
-std::optional<consensus::Acceptor> ledgeOf(const DurableStore::StoredState& record) {
-  return consensus::Acceptor::restore(NodeId(),
-                                      {record.head, config::ConfigText::create(record.configText)});
+bool writeAndSync(const std::string& path, const std::string& bytes) {
+  FileDescriptor file(path, O_WRONLY | O_CREAT | O_TRUNC);
+  if (!file.isOpen()) return false;
+  const bool written = file.writeAt(bytes.data(), bytes.size(), 0) && file.sync();
+  return file.close() && written;
 }
 
-// Whole or not at all, and on the disk.
-bool writeFile(const std::string& path, const std::string& bytes) {
-  const std::string part = path + ".part";
-  const int fd = ::open(part.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
-  if (fd < 0) return false;
-  std::size_t at = 0;
-  while (at < bytes.size()) {
-    const auto n = ::write(fd, bytes.data() + at, bytes.size() - at);
-    if (n <= 0) break;
-    at += static_cast<std::size_t>(n);
-  }
-  bool good = at == bytes.size() && ::fsync(fd) == 0;
-  good = ::close(fd) == 0 && good;
-  good = good && ::rename(part.c_str(), path.c_str()) == 0;
-  if (!good) ::unlink(part.c_str());
-  const int folder = ::open((fs::path(path).parent_path() / ".").c_str(), O_RDONLY | O_DIRECTORY);
-  if (folder >= 0) {
-    good = ::fsync(folder) == 0 && good;
-    ::close(folder);
+// The file is there whole or not at all, also after a power loss.
+bool replaceFile(const std::string& path, const std::string& bytes) {
+  const std::string partial = path + ".part";
+  if (!writeAndSync(partial, bytes) || ::rename(partial.c_str(), path.c_str()) != 0) {
+    ::unlink(partial.c_str());
+    return false;
   }
-  return good;
+  const FileDescriptor directory((fs::path(path).parent_path() / ".").string(),
+                                 O_RDONLY | O_DIRECTORY);
+  // One that may be written to and not read can't be flushed; the file's own bytes are.
+  return !directory.isOpen() || directory.sync();
 }
 
-std::optional<DurableStore::StoredState> readFile(const std::string& file, SnapshotResult& done) {
-  std::error_code error;
-  const auto size = fs::file_size(file, error);
-  if (error) {
-    done = {End::inputMissing, "can't read " + file};
-    return std::nullopt;
+// What differs before and after any commit: both meta pages and the commit records.
+std::string commitMarksOf(const fs::path& store) {
+  std::ifstream data(store / kDataFile, std::ios::binary);
+  const auto pageBytes = static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
+  std::string metaPages(kMetaPages * pageBytes, '\0');
+  data.read(metaPages.data(), static_cast<std::streamsize>(metaPages.size()));
+  return metaPages + contentsOf(store / kCommitRecordFile);
+}
+
+// A directory that is removed with all its files at the end of the scope.
+class TemporaryDirectory {
+ public:
+  explicit TemporaryDirectory(fs::path path) : path_(std::move(path)) {
+    remove();
+    std::error_code error;
+    created_ = fs::create_directory(path_, error);
+  }
+  ~TemporaryDirectory() { remove(); }
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
+  [[nodiscard]] bool created() const { return created_; }
+  [[nodiscard]] const fs::path& path() const { return path_; }
+
+ private:
+  void remove() {
+    std::error_code ignored;
+    fs::remove_all(path_, ignored);
+  }
+
+  fs::path path_;
+  bool created_ = false;
+};
+
+void copyStoreFiles(const fs::path& from, const fs::path& to) {
+  std::error_code ignored;  // a copy that failed can't be read
+  for (const char* name : {kDataFile, kCommitRecordFile}) {
+    fs::copy_file(from / name, to / name, fs::copy_options::overwrite_existing, ignored);
   }
-  std::string problem = "larger than any snapshot";
-  std::optional<DurableStore::StoredState> record;
-  if (size <= kMostFile) record = decodeSnapshot(contents(file), problem);
-  if (!record) done = {End::corrupt, file + ": " + problem};
-  return record;
 }
-}  // namespace
 
-std::string encodeSnapshot(const DurableStore::StoredState& record) {
-  const auto acceptor = ledgeOf(record);
-  const json line = {{"format", kFormat},
-                     {"version", kVersion},
-                     {"revision", acceptor ? acceptor->value().revision().value : 0},
-                     {"epoch", acceptor ? acceptor->value().epoch : 0},
-                     {"head_bytes", record.head.size()},
-                     {"text_bytes", record.configText.size()},
-                     {"sha1", checksum(record.head, record.configText)}};
-  return line.dump() + "\n" + record.head + record.configText;
+// The state of a voter in a copy that nobody writes to; none where it can't be read.
+std::optional<StoredState> readCopy(const fs::path& copy) {
+  std::error_code ignored;
+  const auto dataBytes = fs::file_size(copy / kDataFile, ignored);
+  StateDatabase database(copy.string(), dataBytes + kCopyMapSlackBytes);
+  auto loaded = database.load();
+  auto* state = std::get_if<StoredState>(&loaded);
+  if (state == nullptr || !acceptorIn(*state)) return std::nullopt;
+  return std::move(*state);
 }
 
-std::optional<DurableStore::StoredState> decodeSnapshot(const std::string& bytes,
-                                                        std::string& problem) {
-  const auto end = bytes.substr(0, kMostLine).find('\n');
-  const auto line = json::parse(bytes.substr(0, std::min(end, kMostLine)), nullptr, false);
-  if (end == std::string::npos || !line.is_object() || line.value("format", json()) != kFormat) {
-    problem = "not a snapshot";
-    return std::nullopt;
-  }
-  if (line.value("version", json()) != kVersion) {
-    problem = "a snapshot of another version: " + line.value("version", json()).dump();
-    return std::nullopt;
+// A page that the newest commit uses isn't written before the next commit is in place. So a copy
+// with the same meta pages and commit records before and after it holds that commit, whole.
+std::optional<StoredState> readWhileWritten(const fs::path& store, const fs::path& copy) {
+  for (int attempt = 0; attempt < kMaxCopyAttempts; ++attempt) {
+    if (attempt > 0) std::this_thread::sleep_for(kCopyRetryPause);
+    const auto before = commitMarksOf(store);
+    copyStoreFiles(store, copy);
+    if (commitMarksOf(store) != before) continue;
+    if (auto state = readCopy(copy)) return state;
+    if (attempt >= kAttemptsBeforeDamaged) break;
   }
-  const auto headBytes = line.value("head_bytes", json());
-  const auto textBytes = line.value("text_bytes", json());
-  const std::size_t held = bytes.size() - end - 1;
-  if (!headBytes.is_number_unsigned() || !textBytes.is_number_unsigned() ||
-      headBytes.get<std::uint64_t>() > held ||
-      textBytes.get<std::uint64_t>() != held - headBytes.get<std::uint64_t>()) {
-    problem = "cut off, or longer than it says";
-    return std::nullopt;
+  return std::nullopt;
+}
+
+std::variant<StoredState, SnapshotResult> readSnapshotFile(const std::string& file) {
+  std::error_code error;
+  const auto size = fs::file_size(file, error);
+  if (error) return SnapshotResult{Status::inputMissing, "can't read " + file};
+  if (size > kMaxSnapshotBytes) {
+    return SnapshotResult{Status::corrupt, file + ": larger than any snapshot"};
   }
-  const auto headSize = headBytes.get<std::size_t>();
-  DurableStore::StoredState record{bytes.substr(end + 1, headSize),
-                                   bytes.substr(end + 1 + headSize)};
-  if (line.value("sha1", json()) != checksum(record.head, record.configText)) {
-    problem = "the checksum differs";
-    return std::nullopt;
+  try {
+    return decodeSnapshot(contentsOf(file));
+  } catch (const DecodeError& problem) {
+    return SnapshotResult{Status::corrupt, file + ": " + problem.reason()};
   }
-  if (!ledgeOf(record)) {
-    problem = "no state of a voter";
-    return std::nullopt;
+}
+
+std::uint64_t randomBits() {
+  std::random_device device;
+  return (static_cast<std::uint64_t>(device()) << 32U) ^ device();
+}
+
+// Writes the state as that of a new incarnation, which has to recover before it votes.
+SnapshotResult writeFenced(StoredState state, const std::string& store) {
+  const auto fenced = consensus::Acceptor::fencedState(
+      {std::move(state.head), config::ConfigText::create(std::move(state.configText))},
+      randomBits());
+  if (!fenced) return {Status::corrupt, "the snapshot holds no state of a voter"};
+  const auto mapBytes =
+      kMapBytesPerTextByte * fenced->configText->text().size() + kRestoreMapSlackBytes;
+  StateDatabase database(store, mapBytes);
+  if (const auto error = database.commit({fenced->head, fenced->configText})) {
+    return {Status::outputFailed, "can't write " + store + ": " + error->message()};
   }
-  return record;
+  return {Status::ok, store + ": restored; the node reads the other voters before it votes"};
 }
 
-// A page that the newest commit reaches isn't written before the next one is in place: a copy with
-// the same meta pages and seals before and after it is that commit, whole.
-SnapshotResult saveSnapshot(const std::string& file, const std::string& data) {
-  const fs::path from = fs::path(data) / "register";
-  const auto marks = [&] {
-    std::ifstream in(from / "data.mdb", std::ios::binary);
-    std::string metas(2 * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE)), '\0');
-    in.read(metas.data(), static_cast<std::streamsize>(metas.size()));
-    return metas + contents(from / "seals");
-  };
-  if (!fs::exists(from / "data.mdb")) {
-    return {End::inputMissing, "no state of a voter in " + from.string()};
+}  // namespace
+
+SnapshotResult saveSnapshot(const std::string& file, const std::string& dataDirectory) {
+  const fs::path store = fs::path(dataDirectory) / kStoreDirectory;
+  if (!fs::exists(store / kDataFile)) {
+    return {Status::inputMissing, "no state of a voter in " + store.string()};
   }
-  const fs::path copy = file + ".copy";
-  std::error_code error;
-  const auto clear = [&] { fs::remove_all(copy, error); };
-  clear();
-  if (!fs::create_directory(copy, error))
-    return {End::outputFailed, "can't write " + copy.string()};
-  std::optional<DurableStore::StoredState> record;
-  for (int i = 0; i < kTries && !record; ++i) {
-    if (i > 0) std::this_thread::sleep_for(kPause);
-    const auto before = marks();
-    for (const char* name : {"data.mdb", "seals"}) {
-      fs::copy_file(from / name, copy / name, fs::copy_options::overwrite_existing, error);
-    }
-    if (marks() != before) continue;
-    event::EventLoop loop;
-    DurableStore store(loop, copy.string(), fs::file_size(copy / "data.mdb", error) + (1U << 20U));
-    record = store.load();
-    if (record && !ledgeOf(*record)) record.reset();
-    // Nobody writes there, and still it can't be read.
-    if (!record && i > 2) break;
+  std::optional<StoredState> state;
+  {
+    const TemporaryDirectory copy(file + ".copy");
+    if (!copy.created()) return {Status::outputFailed, "can't write " + copy.path().string()};
+    state = readWhileWritten(store, copy.path());
   }
-  clear();
-  if (!record) return {End::corrupt, "the state in " + from.string() + " can't be read"};
-  const auto acceptor = ledgeOf(*record);
-  if (!writeFile(file, encodeSnapshot(*record))) return {End::outputFailed, "can't write " + file};
-  return {End::ok, file + ": version " + std::to_string(acceptor->value().revision().value)};
+  const auto acceptor = state ? acceptorIn(*state) : std::nullopt;
+  if (!acceptor) return {Status::corrupt, "the state in " + store.string() + " can't be read"};
+  if (!replaceFile(file, encodeSnapshot(*state))) {
+    return {Status::outputFailed, "can't write " + file};
+  }
+  return {Status::ok, file + ": version " + std::to_string(acceptor->value().revision().value)};
 }
 
-SnapshotResult restoreSnapshot(const std::string& file, const std::string& data, bool force) {
-  SnapshotResult done;
-  auto record = readFile(file, done);
-  if (!record) return done;
-  const fs::path to = fs::path(data) / "register";
-  std::error_code error;
-  fs::create_directories(data, error);
-  if (!DurableStore::isUnused(to.string())) {
-    return {End::directoryInUse, "a process runs on " + to.string() + ": stop it first"};
+SnapshotResult restoreSnapshot(const std::string& file, const std::string& dataDirectory,
+                               bool force) {
+  auto read = readSnapshotFile(file);
+  if (auto* problem = std::get_if<SnapshotResult>(&read)) return std::move(*problem);
+  const fs::path store = fs::path(dataDirectory) / kStoreDirectory;
+  std::error_code ignored;  // writing the state reports it
+  fs::create_directories(dataDirectory, ignored);
+  if (!DirectoryLock::isFree(store.string())) {
+    return {Status::directoryInUse, "a process runs on " + store.string() + ": stop it first"};
   }
-  if (fs::exists(to) && !fs::is_empty(to, error)) {
-    if (!force)
-      return {End::directoryNotEmpty, to.string() + " holds state already; --force puts it away"};
-    fs::remove_all(to, error);
-  }
-  std::random_device device;
-  const auto luck = (static_cast<std::uint64_t>(device()) << 32U) ^ device();
-  const auto saved = consensus::Acceptor::fencedState(
-      {record->head, config::ConfigText::create(std::move(record->configText))}, luck);
-  event::EventLoop loop;
-  DurableStore store(loop, to.string(), 5 * saved->configText->text().size() + (8U << 20U));
-  if (!store.commit({saved->head, saved->configText})) {
-    return {End::outputFailed, "can't write " + to.string() + ": " + store.error()};
+  if (fs::exists(store) && !fs::is_empty(store, ignored)) {
+    if (!force) {
+      return {Status::directoryNotEmpty,
+              store.string() + " holds state already; --force replaces it"};
+    }
+    fs::remove_all(store, ignored);
   }
-  return {End::ok, to.string() + ": put back; the node reads the other voters before it votes"};
+  return writeFenced(std::get<StoredState>(std::move(read)), store.string());
 }
 
 SnapshotResult showSnapshot(const std::string& file) {
-  SnapshotResult done;
-  const auto record = readFile(file, done);
-  if (!record) return done;
-  if (record->configText.empty()) return {End::corrupt, file + ": no configuration in it"};
-  return {End::ok, record->configText};
+  auto read = readSnapshotFile(file);
+  if (auto* problem = std::get_if<SnapshotResult>(&read)) return std::move(*problem);
+  auto& state = std::get<StoredState>(read);
+  if (state.configText.empty()) return {Status::corrupt, file + ": no configuration in it"};
+  return {Status::ok, std::move(state.configText)};
 }
 
 }  // namespace merlingauge::storage
--- a/tests/compatibility/stored_and_peer_formats_test.cpp
+++ b/tests/compatibility/stored_and_peer_formats_test.cpp
@@ -16,7 +16,8 @@
 #include "gossip/gossip_service.hpp"
 #include "proxy/peer_headers.hpp"
 #include "proxy/upstream_transport.hpp"
-#include "storage/durable_store.hpp"
+#include "storage/snapshot_codec.hpp"
+#include "storage/state_database.hpp"
 #include "storage/state_snapshot.hpp"
 
 namespace merlingauge::test {
@@ -36,7 +37,8 @@
 using gossip::GossipService;
 using membership::InstanceRegistry;
 using nlohmann::json;
-using storage::DurableStore;
+using storage::StateDatabase;
+using storage::StoredState;
 
 const fs::path kFixtures = FIXTURES_FOLDER;
 constexpr std::size_t kDiskBytes = 8U << 20U;
@@ -250,11 +252,13 @@
   [[nodiscard]] fs::path registerFolder() const { return folder_ / "register"; }
   [[nodiscard]] const fs::path& folder() const { return folder_; }
 
-  DurableStore::StoredState load() {
-    DurableStore store(bell_, registerFolder().string(), kDiskBytes);
+  StoredState load() {
+    StateDatabase store(registerFolder().string(), kDiskBytes);
     const auto loaded = store.load();
-    EXPECT_EQ(store.loadStatus(), DurableStore::LoadStatus::loaded) << store.error();
-    return loaded.value_or(DurableStore::StoredState{});
+    const auto* state = std::get_if<StoredState>(&loaded);
+    const auto* error = std::get_if<storage::StorageError>(&loaded);
+    EXPECT_TRUE(state) << (error == nullptr ? "nothing stored" : error->message());
+    return state == nullptr ? StoredState{} : *state;
   }
   Acceptor restore() {
     const auto loaded = load();
@@ -269,8 +273,6 @@
     return ask;
   }
 
-  event::EventLoop bell_;
-
  private:
   fs::path folder_;
 };
@@ -356,9 +358,10 @@
   acceptor.handle(prepare(9));
   const auto saved = acceptor.persistedState();
   {
-    DurableStore store(bell_, registerFolder().string(), kDiskBytes);
-    ASSERT_TRUE(store.load());
-    ASSERT_TRUE(store.commit({saved.head, saved.configText})) << store.error();
+    StateDatabase store(registerFolder().string(), kDiskBytes);
+    ASSERT_TRUE(std::holds_alternative<StoredState>(store.load()));
+    const auto error = store.commit({saved.head, saved.configText});
+    ASSERT_FALSE(error) << error->message();
   }
   EXPECT_EQ(load().head, saved.head);
   EXPECT_EQ(restore().handle(prepare(8)).reply.promisedBallot, (Ballot{9, kSecond}));
@@ -369,20 +372,15 @@
 using Snapshot = Store;
 
 TEST_F(Snapshot, HoldsWhatTheStoreHeld) {
-  std::string problem;
-  const auto record = storage::decodeSnapshot(contents(kFixtures / "voter.snapshot"), problem);
-  ASSERT_TRUE(record) << problem;
+  const auto record = storage::decodeSnapshot(contents(kFixtures / "voter.snapshot"));
   const auto stored = load();
-  EXPECT_EQ(record->head, stored.head);
-  EXPECT_EQ(record->configText, stored.configText);
+  EXPECT_EQ(record.head, stored.head);
+  EXPECT_EQ(record.configText, stored.configText);
 }
 
 TEST_F(Snapshot, IsWrittenAgainByteForByte) {
   const auto bytes = contents(kFixtures / "voter.snapshot");
-  std::string problem;
-  const auto record = storage::decodeSnapshot(bytes, problem);
-  ASSERT_TRUE(record) << problem;
-  EXPECT_EQ(storage::encodeSnapshot(*record), bytes);
+  EXPECT_EQ(storage::encodeSnapshot(storage::decodeSnapshot(bytes)), bytes);
 }
 
 TEST_F(Snapshot, IsSavedFromTheStoreByteForByte) {
