--- a/tests/compatibility/stored_and_peer_formats_test.cpp
+++ b/tests/compatibility/stored_and_peer_formats_test.cpp
@@ -621,7 +621,7 @@
 
 // ---- News
 
-// One node with a clock that stands still, and what it says to others.
+// One node with a clock that moves only when told to, and what it says to others.
 class Post {
  public:
   struct Said {
@@ -649,16 +649,37 @@
     return out;
   }
 
+  // Lets time pass and runs what was put off until then.
+  void pass(Duration span) {
+    now_ += span;
+    for (auto it = timers_.begin(); it != timers_.end(); it = timers_.begin()) {
+      const auto due = std::find_if(it, timers_.end(),
+                                    [&](const auto& timer) { return timer.second.at <= now_; });
+      if (due == timers_.end()) break;
+      const auto work = timers_.extract(due).mapped().work;
+      work();
+    }
+    roster->tick();
+  }
+
   static constexpr TimePoint kNow = TimePoint(std::chrono::hours(1));
 
  private:
+  struct Timer {
+    TimePoint at;
+    std::function<void()> work;
+  };
+
   class Environment final : public gossip::Environment {
    public:
     explicit Environment(Post& post) : post_(post) {}
-    [[nodiscard]] TimePoint now() const override { return kNow; }
-    [[nodiscard]] TimePoint readClock() const override { return kNow; }
-    TimerId runAfter(Duration, std::function<void()>) override { return ++timers_; }
-    void cancel(TimerId) override {}
+    [[nodiscard]] TimePoint now() const override { return post_.now_; }
+    [[nodiscard]] TimePoint readClock() const override { return post_.now_; }
+    TimerId runAfter(Duration wait, std::function<void()> work) override {
+      post_.timers_[++lastTimer_] = {post_.now_ + wait, std::move(work)};
+      return lastTimer_;
+    }
+    void cancel(TimerId timer) override { post_.timers_.erase(timer); }
     void sendPull(const NodeId& to, const json& message, Duration,
                   ResponseCallback onResponse) override {
       post_.said.push_back({to, message, std::move(onResponse)});
@@ -666,7 +687,7 @@
 
    private:
     Post& post_;
-    TimerId timers_ = 0;
+    TimerId lastTimer_ = 0;
   };
 
   class Replica final : public consensus::RegisterReplica {
@@ -681,7 +702,7 @@
       return consensus::valueFromJson(encoded, &post_.shelf);
     }
     void learn(const RegisterValue& value) override { post_.known = value; }
-    [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override { return kNow; }
+    [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override { return post_.now_; }
 
    private:
     Post& post_;
@@ -691,6 +712,8 @@
   Environment environment_{*this};
   Replica replica_{*this};
   gossip::GossipObserver observer_;
+  TimePoint now_ = kNow;
+  std::map<std::uint64_t, Timer> timers_;
 
  public:
   InstanceRegistry book;
@@ -706,6 +729,13 @@
 // Some node that no recorded message knows.
 Post stranger() { return {NodeId("10.9.9.9"), true, Incarnation{1}, {kVoter}}; }
 
+// What a puller with that vector calls "d".
+std::uint64_t hashOver(const json& vector) {
+  membership::VersionVector tally(std::make_shared<membership::SourceTable>());
+  for (const auto& [source, count] : membership::entriesFromJson(vector)) tally.set(source, count);
+  return tally.hash();
+}
+
 class NewsMessage : public ::testing::TestWithParam<std::string> {};
 
 TEST_P(NewsMessage, WordsAreReadAndWrittenAsTheyWere) {
@@ -929,30 +959,99 @@
   whole["a"] = 1;
   whole["w"] = 0;
   whole["v"] = {{"10.0.1.1/1000", 3}, {"10.0.1.2/1001", 1}, {"10.0.1.3/1002", 1}};
-  membership::VersionVector before(core.book.sourceTable());
-  for (const auto& [source, count] : membership::entriesFromJson(whole.at("v")))
-    before.set(source, count);
-  whole["d"] = before.hash();
+  whole["d"] = hashOver(whole.at("v"));
   ASSERT_FALSE(core.serve(whole).contains("q"));
   auto pull = m.ask;
   pull["w"] = 0;
   EXPECT_FALSE(core.serve(pull).contains("q")) << "the vector without that life is the puller's";
 }
 
-TEST(NewsWords, CoreThatIsOutOfTouchIsLeftForAnother) {
-  const auto m = message("news-out-of-touch");
-  EXPECT_EQ(m.answer.at("u"), 1);
+// Which nodes are pulled from once the first has answered so.
+std::set<NodeId> pulledFromAfter(const json& answer) {
   Post sidecar(kSidecar, false, Incarnation{584672244}, {kVoter, kSecond, kThird});
   sidecar.roster->tick();
   sidecar.said.at(0).answer(message("news-greeting").answer);
-  const auto cutOff = sidecar.said.at(1).to;
-  sidecar.said.at(1).answer(m.answer);
-  // It is asked now and then only; another carries the news.
-  const bool another = std::any_of(sidecar.said.begin() + 2, sidecar.said.end(),
-                                   [&](const auto& said) { return said.to != cutOff; });
-  sidecar.roster->tick();
-  EXPECT_TRUE(another || std::any_of(sidecar.said.begin() + 2, sidecar.said.end(),
-                                     [&](const auto& said) { return said.to != cutOff; }));
+  sidecar.said.at(1).answer(answer);
+  // Neighbours are met one after the other.
+  for (int i = 0; i < 4; ++i) sidecar.pass(std::chrono::milliseconds(500));
+  std::set<NodeId> out;
+  for (const auto& said : sidecar.said) {
+    if (said.body.contains("s")) out.insert(said.to);
+  }
+  return out;
+}
+
+TEST(NewsWords, CoreThatIsOutOfTouchIsLeftForAnother) {
+  auto answer = message("news-out-of-touch").answer;
+  ASSERT_TRUE(answer.contains("u"));
+  const auto outOfTouch = pulledFromAfter(answer);
+  answer.erase("u");
+  EXPECT_GT(outOfTouch.size(), pulledFromAfter(answer).size());
+}
+
+TEST(NewsWords, CoreThatIsOutOfTouchSaysSo) {
+  const auto recorded = message("news-out-of-touch").answer;
+  auto core = stranger();
+  core.known.voters = {kVoter, kSecond, kThird};
+  core.roster->tick();
+  core.pass(std::chrono::seconds(4));
+  const auto answer = core.serve(message("news-first-contact-of-core").ask);
+  ASSERT_TRUE(answer.contains("u"));
+  EXPECT_EQ(answer.at("u"), recorded.at("u"));
+}
+
+TEST(NewsWords, PullNamesTheTextAtHand) {
+  const auto recorded = message("news-delta-server").ask;
+  Post core(kFourth, true, Incarnation{584888803}, {kVoter});
+  core.known.sequence = 11;
+  core.known.config = textOf(recorded.at("t").get<std::uint64_t>());
+  core.known.configRevision = Revision{16};
+  core.roster->tick();
+  ASSERT_FALSE(core.said.empty());
+  EXPECT_EQ(core.said[0].body.at("t"), recorded.at("t"));
+  EXPECT_EQ(core.said[0].body.at("s"), recorded.at("s"));
+}
+
+TEST(NewsWords, TextIsToldAsADeltaOnTheOneAtHand) {
+  const auto m = message("news-value-delta");
+  auto core = stranger();
+  core.shelf = shelfFor(m.answer.at("c"));
+  core.known = consensus::valueFromJson(m.answer.at("c"), &core.shelf);
+  auto pull = m.ask;
+  pull["a"] = 1;  // else this one would ask for the whole vector first
+  pull["d"] = hashOver(pull.at("v"));
+  pull["w"] = 0;
+  EXPECT_EQ(core.serve(pull).at("c"), m.answer.at("c"));
+}
+
+TEST(NewsWords, PullThatWaitsInVainIsToldTheRanges) {
+  const auto m = message("news-range-digests");
+  Post core(NodeId("10.0.1.2"), true, Incarnation{1001}, {});
+  const json other = {{"n", "10.0.1.1", "z", 1, 1, 1000, "10.0.1.1/1000", 1}};
+  core.book.merge(other, {}, Post::kNow);
+  json pull = m.ask;
+  pull["a"] = 1;
+  pull["v"] = {{"10.0.1.1/1000", 2}, {"10.0.1.2/1001", 1}};
+  json answer;
+  core.roster->handlePull(pull, [&answer](const std::string& text) { answer = json::parse(text); });
+  ASSERT_TRUE(answer.is_null()) << "there is nothing new to tell";
+  core.pass(std::chrono::seconds(1));
+  ASSERT_TRUE(answer.is_object());
+  EXPECT_EQ(answer.value("r", json()), m.answer.at("r"));
+}
+
+TEST(NewsWords, RangesThatDifferAreSentWithTheNextPull) {
+  Post core(NodeId("10.0.1.1"), true, Incarnation{1000}, {NodeId("10.0.1.2")});
+  core.book.merge(message("news-mend-ranges").ask.at("i"), {}, Post::kNow);
+  core.roster->tick();
+  ASSERT_EQ(core.said.size(), 1U);
+  core.said[0].answer(message("news-range-digests").answer);
+  ASSERT_EQ(core.said.size(), 2U);
+  const auto& pull = core.said[1].body;
+  ASSERT_TRUE(pull.contains("m"));
+  ASSERT_TRUE(pull.contains("i"));
+  EXPECT_TRUE(std::any_of(pull.at("i").begin(), pull.at("i").end(),
+                          [](const auto& item) { return item.at(1) == "i1"; }));
 }
 
 TEST(NewsWords, EvidenceIsToldAndTakenInMilliseconds) {
