--- a/src/base/json_fields.hpp
+++ b/src/base/json_fields.hpp
@@ -5,6 +5,7 @@
 #include <cstddef>
 #include <nlohmann/json.hpp>
 #include <string>
+#include <string_view>
 
 #include "base/decode_error.hpp"
 
@@ -12,11 +13,11 @@
 
 /// `value` as a T. `name` is only for the error.
 template <class T>
-T decodeAs(const nlohmann::json& value, const std::string& name) {
+T decodeAs(const nlohmann::json& value, std::string_view name) {
   try {
     return value.get<T>();
   } catch (const nlohmann::json::exception&) {
-    throw DecodeError(name, std::string("unexpected type ") + value.type_name());
+    throw DecodeError(std::string(name), std::string("unexpected type ") + value.type_name());
   }
 }
 
@@ -42,15 +43,27 @@
   return found == object.end() ? fallback : decodeAs<T>(*found, key);
 }
 
-/// The element at `index` of an array. Throws DecodeError where the array is shorter.
-inline const nlohmann::json& requiredElement(const nlohmann::json& array, std::size_t index) {
-  const std::string name = "item " + std::to_string(index);
-  if (!array.is_array()) throw DecodeError(name, "not inside a list");
-  if (index >= array.size()) throw DecodeError(name, "missing");
+/// The element at `index` of an array. Throws DecodeError where the array is shorter. `name` is
+/// only for the error.
+inline const nlohmann::json& requiredElement(const nlohmann::json& array, std::size_t index,
+                                             std::string_view name) {
+  if (!array.is_array()) throw DecodeError(std::string(name), "not inside a list");
+  if (index >= array.size()) throw DecodeError(std::string(name), "missing");
   return array[index];
 }
 
-/// The element at `index` of an array as a T.
+/// The same, named by its index.
+inline const nlohmann::json& requiredElement(const nlohmann::json& array, std::size_t index) {
+  return requiredElement(array, index, "item " + std::to_string(index));
+}
+
+/// The element at `index` of an array as a T. `name` is only for the error.
+template <class T>
+T requiredItem(const nlohmann::json& array, std::size_t index, std::string_view name) {
+  return decodeAs<T>(requiredElement(array, index, name), name);
+}
+
+/// The same, named by its index.
 template <class T>
 T requiredItem(const nlohmann::json& array, std::size_t index) {
   return decodeAs<T>(requiredElement(array, index), "item " + std::to_string(index));
