--- a/src/gossip/pull_messages.cpp
+++ b/src/gossip/pull_messages.cpp
@@ -11,7 +11,7 @@
 using membership::SourceId;
 using membership::VersionVectorEntries;
 using nlohmann::json;
-using RangeDigests = membership::InstanceRegistry::RangeDigests;
+using RangeDigests = membership::RangeDigests;
 
 namespace {
 // An age from a peer beyond this (11 days) says no more than this does, and stays far from
--- a/src/gossip/pull_messages.hpp
+++ b/src/gossip/pull_messages.hpp
@@ -81,7 +81,7 @@
   std::optional<nlohmann::json> items;
   membership::VersionVectorEntries vectorChanges;
   bool wantsWholeVector = false;
-  std::optional<membership::InstanceRegistry::RangeDigests> rangeDigests;
+  std::optional<membership::RangeDigests> rangeDigests;
   /// The committed register value, still encoded: it may rest on a text cached here.
   std::optional<nlohmann::json> value;
   StalenessReport staleness;
@@ -97,7 +97,7 @@
   /// `items`: text of a JSON list.
   void addItems(const std::string& items);
   void addVectorChanges(const membership::VersionVectorEntries& changes);
-  void addRangeDigests(const membership::InstanceRegistry::RangeDigests& digests);
+  void addRangeDigests(const membership::RangeDigests& digests);
   /// `value`: text of the encoded register value.
   void addValue(const std::string& value);
   void addStaleness(const StalenessReport& report);
--- a/src/membership/instance_registry.hpp
+++ b/src/membership/instance_registry.hpp
@@ -1,11 +1,7 @@
-// guestbook: what every node knows of the others and of the servers. Each is one item, joined by
-// whichever word is stronger, so no order of news and no restart of whoever heard a word can undo
-// it. Items carry the dot of the word they hold: a life of a source, and how far it had come. No
-// clock of its own, no sockets.
+// instance_registry: what a node knows of the other nodes and of the server instances, joined with
+// what its peers know.
 #pragma once
 
-#include <algorithm>
-#include <array>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -14,231 +10,146 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "base/ids.hpp"
 #include "base/time.hpp"
+#include "membership/dot.hpp"
+#include "membership/dot_index.hpp"
+#include "membership/instance.hpp"
+#include "membership/instance_expiry.hpp"
+#include "membership/instance_table.hpp"
+#include "membership/node_info.hpp"
+#include "membership/node_table.hpp"
+#include "membership/range_digest.hpp"
+#include "membership/registry_codec.hpp"
+#include "membership/update_throttle.hpp"
+#include "membership/version_vector.hpp"
 
 namespace merlingauge::membership {
 
-struct Instance {
-  // Rises only: a server that drains never comes back within its life.
-  enum class Status : std::uint8_t { available, draining, gone };
-  InstanceId id;
-  ServiceName service;
-  std::string address;  // ip:port of the server itself
-  ZoneName zone;
-  int capacity = 1;
-  Status status = Status::available;
-  std::uint64_t sequence = 0;      // of the beat that this word rests on
-  std::uint32_t reporterEdit = 0;  // orders what its keeper says between two beats
-  bool warmingUp = false;
-  bool unresponsive = false;  // its beats have stopped
-  int failingTenths = 0;      // tenths of its answers that fail, as its keeper sees them
-  NodeId reporter;            // the node that hears its beats
-  [[nodiscard]] bool isUsable() const { return status == Status::available && !unresponsive; }
-};
-
-struct NodeInfo {
-  NodeId id;
-  ZoneName zone;
-  bool isControlNode = false;  // has a disk and may vote
-  bool shuttingDown = false;
-  bool unresponsive = false;      // nobody hears it any more; it says so itself when that's wrong
-  std::uint64_t infoVersion = 0;  // orders its words; only the node itself raises it
-  Incarnation incarnation;
-  bool recovered = false;  // a core that has read what a voter must hold
-};
-
-// One life of one node as a source of words.
-using SourceId = StrongId<struct SourceTag>;
-using VersionVectorEntries = std::map<SourceId, std::uint64_t>;
-
-// The lives that the vectors of one node name, numbered. A number is given away again once no
-// vector has an entry of it, so that lives that are over leave no hole.
-class SourceTable {
+/// A replicated state machine without a leader. Each instance and each node is one item, and two
+/// copies of an item are joined by keeping the one of higher precedence, so neither the order of
+/// updates nor the restart of a reporter undoes one (state-based CRDT, a join-semilattice). Each
+/// item carries the dot of its update, and a version vector says which dots a node has seen; so
+/// peers send each other only what is new. Peers are served and asked by gossip.
+///
+/// Joins the tables, the dot index, the throttle and the expiry, and decides between updates. Reads
+/// no clock and does no I/O: the time is passed in, and no call is earlier than the one before.
+/// Event-loop thread only. Lost with the process; a restarted node gets it from its peers.
+class InstanceRegistry {
  public:
-  [[nodiscard]] std::optional<std::uint32_t> find(const SourceId& source) const;
-  [[nodiscard]] const SourceId& sourceAt(std::size_t number) const { return rows_[number].source; }
-  std::uint32_t acquire(const SourceId& source);  // one more vector has an entry of it
-  void release(std::size_t number);
+  /// `incarnation` must differ from that of every earlier run of this node.
+  InstanceRegistry(NodeInfo self, Incarnation incarnation);
 
- private:
-  struct Row {
-    SourceId source;
-    std::size_t holders = 0;
+  enum class HeartbeatResult : std::uint8_t {
+    changed,    ///< peers are to be told
+    unchanged,  ///< known already, or deferred
+    stale       ///< overtaken by a later state of the same instance
   };
-  std::unordered_map<SourceId, std::uint32_t> numbers_;
-  std::vector<Row> rows_;
-  std::vector<std::uint32_t> free_;
-};
 
-// How far somebody has come, with a hash over it that is kept up as it changes. A few bytes a life:
-// a core has one for each node that pulls from it, and compares them with its own at every pull.
-class VersionVector {
- public:
-  explicit VersionVector(std::shared_ptr<SourceTable> incarnations)
-      : sources_(std::move(incarnations)) {}
-  ~VersionVector() { clear(); }
-  VersionVector(const VersionVector&) = delete;
-  VersionVector& operator=(const VersionVector&) = delete;
-  void set(const SourceId& source, std::uint64_t count);
-  void erase(const SourceId& source) { set(source, 0); }
-  void clear();
-  [[nodiscard]] std::size_t size() const { return size_; }
-  [[nodiscard]] std::uint64_t hash() const { return hash_; }
-  [[nodiscard]] std::uint64_t counterOf(const SourceId& source) const;
-  // Calls `visit(source, theirs, mine)` for each entry of `ahead` that is above this one's.
-  template <class Visit>
-  void forEachNewer(const VersionVector& ahead, Visit exchange) const {
-    if (hash_ == ahead.hash_) return;
-    for (std::size_t i = 0; i < ahead.counters_.size(); ++i) {
-      const std::uint64_t have = i < counters_.size() ? counters_[i] : 0;
-      if (have < ahead.counters_[i]) exchange(sources_->sourceAt(i), ahead.counters_[i], have);
-    }
-  }
-  // Those that are there and not in `other`.
-  [[nodiscard]] std::vector<SourceId> sourcesMissingIn(const VersionVector& other) const;
-
- private:
-  std::shared_ptr<SourceTable> sources_;  // of the one node that compares them
-  std::vector<std::uint64_t> counters_;
-  std::size_t size_ = 0;
-  std::uint64_t hash_ = 0;
-};
+  // ---- Observations of this node. Those that return bool say whether an item has changed.
 
-struct Dot {
-  SourceId source;
-  std::uint64_t counter = 0;
-};
-
-nlohmann::json toJson(const VersionVectorEntries& vector);
-VersionVectorEntries entriesFromJson(const nlohmann::json& j);
-
-class InstanceRegistry {
- public:
-  static constexpr std::size_t kRangeCount = 16;
-  using RangeDigests = std::array<std::uint64_t, kRangeCount>;
-
-  InstanceRegistry(NodeInfo self, Incarnation incarnation);
-
-  enum class HeartbeatResult : std::uint8_t { changed, unchanged, stale };
-  // A server's own word, heard by this node.
+  /// A server's own report, received by this node, which thereby becomes its reporter.
   HeartbeatResult handleHeartbeat(const Instance& server, TimePoint now);
-  // What can wait, does, and then a few go out at a time: that a server beats to another node now,
-  // and, until `until`, servers that this life of the node knows nothing of yet. A whole core
-  // coming back would fill its readers' links with words that say nothing new.
-  void throttleUpdatesUntil(TimePoint until) {
-    // Never later than said before.
-    if (throttling_) until = std::min(until, throttleNewUntil_);
-    throttling_ = true;
-    throttleNewUntil_ = until;
-  }
-  bool releaseThrottledUpdates(TimePoint now);
+  /// Marks the instance as gone, for good, also where nothing else is known of it.
   bool deregister(const InstanceId& id, TimePoint now);
-  // This node's own look at a server beside it that doesn't answer.
+  /// An instance that this node cannot reach, whatever its heartbeats say.
   bool markUnresponsive(const InstanceId& id, TimePoint now);
+  /// The share of failing responses, in tenths, of an instance that this node reports.
   bool setFailingTenths(const InstanceId& id, int tenths);
-  // Marks servers heard here that have not beaten for `silent`, and forgets what ended long ago.
-  bool expireInstances(TimePoint now, Duration silent, Duration forget);
-  // Servers whose keeper is silent or has left for so long that their beats must have stopped.
-  bool markOrphans(TimePoint now, Duration silent,
-                   const std::function<bool(const InstanceId&)>& mine);
   void announceShutdown();
-  void announceRecovered(bool awake);
+  void announceRecovered(bool recovered);
   bool markNodeUnresponsive(const NodeId& id);
 
-  // Is there any word here that `have` doesn't cover, and which?
-  [[nodiscard]] bool hasNewerThan(const VersionVector& have) const;
-  // As the text of a JSON list; empty where there is none. Words are put into text once.
-  [[nodiscard]] std::string itemsNewerThan(const VersionVector& have, TimePoint now) const;
-  // Vector entries above `have`.
-  [[nodiscard]] VersionVectorEntries entriesAbove(const VersionVector& have) const;
-  // Takes items and, after them, how far the sender had come. True if anything changed.
-  bool merge(const nlohmann::json& items, const VersionVectorEntries& come, TimePoint now);
-  // All items of the ranges in `mask`.
-  [[nodiscard]] std::string itemsInRanges(std::uint32_t mask, TimePoint now) const;
+  // ---- Time.
+
+  /// See UpdateThrottle::throttleUntil().
+  void throttleUpdatesUntil(TimePoint until) { throttle_.throttleUntil(until); }
+  bool releaseThrottledUpdates(TimePoint now);
+  /// Marks the instances reported here that have sent no heartbeat for `heartbeatTimeout`, and
+  /// forgets those that closed longer than `forgetAfter` ago, with the nodes and sources that
+  /// ended.
+  bool expireInstances(TimePoint now, Duration heartbeatTimeout, Duration forgetAfter);
+  /// Marks the instances whose reporter has been down for longer than `heartbeatTimeout`, as far as
+  /// `isMine` accepts them.
+  bool markOrphans(TimePoint now, Duration heartbeatTimeout,
+                   const std::function<bool(const InstanceId&)>& isMine);
+
+  // ---- Exchange with peers.
+
+  /// Is there an item here whose update `seen` does not cover?
+  [[nodiscard]] bool hasNewerThan(const VersionVector& seen) const;
+  /// All such items, as the text of a JSON list; empty where there is none.
+  [[nodiscard]] std::string itemsNewerThan(const VersionVector& seen, TimePoint now) const;
+  /// The entries of this node's vector that are above those of `seen`.
+  [[nodiscard]] VersionVectorEntries entriesAbove(const VersionVector& seen) const;
+  /// All items of some ranges, as the text of a JSON list.
+  [[nodiscard]] std::string itemsInRanges(RangeMask ranges, TimePoint now) const;
+  /// Joins a peer's items into this registry and then its vector. True if an item has changed.
+  /// Throws DecodeError at a malformed item: those before it are joined then, those after it and
+  /// `seenByPeer` are not, so the next pull asks for them again.
+  bool merge(const nlohmann::json& items, const VersionVectorEntries& seenByPeer, TimePoint now);
+  /// XOR of all item hashes; equal digests mean equal open items.
+  [[nodiscard]] std::uint64_t digest() const { return instances_.digest() ^ nodes_.digest(); }
   [[nodiscard]] RangeDigests rangeDigests() const;
-  // For tests: an item is lost, as by a fault.
-  void loseInstance(const InstanceId& id);
-
-  [[nodiscard]] const VersionVector& versionVector() const { return versionVector_; }
-  // For vectors that are compared with this book's.
-  [[nodiscard]] const std::shared_ptr<SourceTable>& sourceTable() const { return sourceTable_; }
-  // Over the items that still matter; equal digests mean equal books.
-  [[nodiscard]] std::uint64_t digest() const { return digest_; }
-  [[nodiscard]] const std::map<NodeId, NodeInfo>& nodes() const { return nodes_; }
-  // Those of them that have a disk: few, however many nodes there are.
-  [[nodiscard]] const std::set<NodeId>& controlNodes() const { return controlNodes_; }
-  [[nodiscard]] std::uint64_t nodeChangeCount() const { return nodeChangeCount_; }
-  [[nodiscard]] const NodeInfo& selfInfo() const { return nodes_.at(self_); }
+  [[nodiscard]] const VersionVector& versionVector() const { return dots_.versionVector(); }
+  /// For vectors that are compared with this registry's.
+  [[nodiscard]] const std::shared_ptr<SourceTable>& sourceTable() const {
+    return dots_.sourceTable();
+  }
+
+  // ---- Nodes.
+
+  [[nodiscard]] const std::map<NodeId, NodeInfo>& nodes() const { return nodes_.nodes(); }
+  /// The known nodes that may vote: few, however many nodes there are.
+  [[nodiscard]] const std::set<NodeId>& controlNodes() const { return nodes_.controlNodes(); }
+  /// Rises with each change of a node.
+  [[nodiscard]] std::uint64_t nodeChangeCount() const { return nodes_.changeCount(); }
+  [[nodiscard]] const NodeInfo& selfInfo() const { return nodes().at(self_); }
+  /// Of this node's latest update on itself: a peer that covers it has all that this node made
+  /// before.
+  [[nodiscard]] Dot selfDot() const { return nodes_.dotOf(self_); }
+
+  // ---- Instances.
+
   [[nodiscard]] std::optional<Instance> findInstance(const InstanceId& id) const;
-  // What this node itself has heard from a server, in this life of the node.
+  /// Only an instance whose heartbeats this incarnation of this node has received.
   [[nodiscard]] std::optional<Instance> findReportedHere(const InstanceId& id) const;
   [[nodiscard]] std::vector<Instance> instances() const;
-  // Servers of a service that are usable, and a number that changes whenever the list does.
   [[nodiscard]] std::vector<Instance> usableInstances(const ServiceName& service) const;
+  /// Rises whenever usableInstances() of the service may have changed.
   [[nodiscard]] std::uint64_t changeCount(const ServiceName& service) const;
   [[nodiscard]] std::optional<Dot> dotOf(const InstanceId& id) const;
-  // Of this node's last word on itself: whoever has it has all that this node said before.
-  [[nodiscard]] Dot selfDot() const { return nodeDots_.at(self_); }
+  /// For tests: the item disappears, as by a fault.
+  void loseInstance(const InstanceId& id) { erase(id); }
 
  private:
-  struct Item {
-    Instance instance;
-    Dot dot;
-    std::optional<TimePoint> closedAt;  // gone or silent since
-    mutable std::string text;           // as it is told, but for how long ago it ended
-  };
-  struct Heartbeat {
-    TimePoint at;
-    std::uint64_t sequence = 0;
-  };
-  struct Key {
-    bool node = false;
-    std::string name;
-  };
-  struct Stream {
-    std::map<std::uint64_t, Key> items;  // by the count of the word they hold
-    TimePoint touched;
-  };
-  [[nodiscard]] bool canWait(const Item* held, const Instance& word, TimePoint now) const;
-  Dot newDot();
-  void cameTo(const SourceId& source, std::uint64_t count);
-  void put(const Instance& server, const Dot& dot, TimePoint closedAt);
-  void putNode(const NodeInfo& facts, const Dot& dot);
-  void write(const Instance& server, TimePoint now) { put(server, newDot(), now); }
+  void put(Instance instance, Dot dot, TimePoint closedAt);
+  void putNode(const NodeInfo& info, Dot dot);
+  /// An update by this node itself.
+  void write(Instance instance, TimePoint now);
+  void writeNode(const NodeInfo& info);
+  void writeUnresponsive(const std::vector<InstanceId>& ids, TimePoint now);
   void erase(const InstanceId& id);
   void eraseNode(const NodeId& id);
-  void sweep(TimePoint now, Duration forget);
-  bool mergeServer(const nlohmann::json& j, TimePoint now);
-  bool mergeNode(const nlohmann::json& j);
-  void appendItem(const Key& key, TimePoint now, std::string& out) const;
+  void forgetEnded(TimePoint now, Duration forgetAfter);
+  /// The result of a heartbeat that says nothing new of an instance, or nothing.
+  [[nodiscard]] std::optional<HeartbeatResult> resultWithoutUpdate(const Instance& held,
+                                                                   const Instance& server) const;
+  bool mergeInstance(InstanceUpdate update, TimePoint now);
+  bool mergeNode(NodeUpdate update);
+  bool refute(const NodeInfo& update);
+  void appendItem(const ItemKey& key, TimePoint now, std::string& list) const;
 
   NodeId self_;
-  SourceId source_;
-  std::uint64_t counter_ = 0;
-  std::unordered_map<InstanceId, Item> instances_;
-  std::map<ServiceName, std::map<InstanceId, const Instance*>> services_;
-  std::map<ServiceName, std::uint64_t> changeCounts_;
-  std::map<NodeId, NodeInfo> nodes_;
-  std::set<NodeId> controlNodes_;
-  std::map<NodeId, Dot> nodeDots_;
-  mutable std::map<NodeId, std::string> nodeTexts_;
-  std::map<NodeId, TimePoint> downSince_;  // silent or leaving nodes, as seen here
-  std::unordered_map<InstanceId, Heartbeat> heartbeats_;
-  std::map<InstanceId, Instance> throttled_;  // words that can wait, the latest of each server
-  bool throttling_ = false;
-  TimePoint throttleNewUntil_;
-  std::map<InstanceId, TimePoint> expected_;  // an earlier life of this node heard them
-  std::map<SourceId, Stream> streams_;
-  std::shared_ptr<SourceTable> sourceTable_ = std::make_shared<SourceTable>();
-  VersionVector versionVector_{sourceTable_};
-  std::uint64_t digest_ = 0;
-  std::uint64_t nodeChangeCount_ = 0;
-  TimePoint lastNow_;
-  TimePoint sweepAt_;
+  InstanceTable instances_;
+  NodeTable nodes_;
+  DotIndex dots_;
+  UpdateThrottle throttle_;
+  InstanceExpiry expiry_{instances_, throttle_, self_};
+  TimePoint lastNow_;  // of the latest call that carried the time; for those that do not
+  TimePoint forgetEndedAt_;
 };
 
 }  // namespace merlingauge::membership
