--- a/src/consensus/staleness_bound.hpp
+++ b/src/consensus/staleness_bound.hpp
@@ -10,7 +10,7 @@
 
 #include "base/ids.hpp"
 #include "base/time.hpp"
-#include "consensus/register.hpp"
+#include "consensus/register_value.hpp"
 
 namespace merlingauge::consensus {
 
--- a/src/control/acceptor_host.cpp
+++ b/src/control/acceptor_host.cpp
@@ -2,10 +2,14 @@
 
 #include <Poco/Logger.h>
 
+#include <stdexcept>
 #include <string>
 #include <utility>
 #include <variant>
 
+#include "consensus/acceptor_state_codec.hpp"
+#include "consensus/incarnation.hpp"
+
 namespace merlingauge::control {
 
 using consensus::Acceptor;
@@ -29,18 +33,29 @@
   store_.start();
 }
 
+namespace {
+// Nothing where the record is not an acceptor's state: its promises can't be known.
+std::optional<consensus::AcceptorState> decodeStored(storage::StoredState stored) {
+  try {
+    return consensus::decodeState(
+        {std::move(stored.head), config::ConfigText::create(std::move(stored.configText))});
+  } catch (const std::runtime_error& error) {  // DecodeError or MissingCachedText
+    logger().error(std::string("the stored state can't be read: ") + error.what());
+  }
+  return std::nullopt;
+}
+}  // namespace
+
 Acceptor AcceptorHost::loadAcceptor(const RegisterServiceOptions& options,
                                     std::mt19937_64& random) {
   auto loaded = store_.load();
   if (auto* stored = std::get_if<storage::StoredState>(&loaded)) {
-    const Acceptor::PersistedState state{stored->head,
-                                         config::ConfigText::create(std::move(stored->configText))};
-    if (auto restored = Acceptor::restore(options.self, state)) {
-      const auto& value = restored->value();
+    if (auto state = decodeStored(std::move(*stored))) {
+      const auto& value = state->value;
       logger().information("state read back, version " + std::to_string(value.revision().value));
       consensus::cacheTexts(textCache_, value);
       stalenessBound_.onAccepted(value.sequence, StalenessBound::kNever);
-      return *std::move(restored);
+      return Acceptor(options.self, *std::move(state));
     }
   }
   // Where something was stored and can't be read, promises may be among it.
@@ -72,7 +87,7 @@
   auto response = acceptor_.handle(request);
   if (request.kind == RegisterRequest::Kind::fetch) {
     // The acceptor may hold a newer text by now than the one that the proposer was told of.
-    if (const auto text = textCache_.find(request.textId)) response.reply.value.config = text;
+    if (const auto text = textCache_.find(request.wantedTextId)) response.reply.value.config = text;
   }
   consensus::cacheTexts(textCache_, acceptor_.value());
   stalenessBound_.onAccepted(acceptor_.value().sequence, event::EventLoop::readClock());
@@ -101,7 +116,7 @@
 }
 
 storage::StateRecord AcceptorHost::persistedRecord() const {
-  auto state = acceptor_.persistedState();
+  auto state = consensus::encodeState(acceptor_.state());
   return {std::move(state.head), std::move(state.configText)};
 }
 
--- a/src/control/acceptor_recovery.cpp
+++ b/src/control/acceptor_recovery.cpp
@@ -3,6 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "consensus/message_codec.hpp"
 #include "control/proposal_runner.hpp"
 
 namespace merlingauge::control {
@@ -44,7 +45,7 @@
   nextAttemptAt_ = now + kRejoinInterval;
   const auto& committedText = replica_.committedValue().config;
   const auto heldText = committedText ? committedText : acceptorHost_.acceptor().value().config;
-  request->textId = heldText ? heldText->id() : 0;
+  request->cachedTextId = heldText ? heldText->id() : 0;
   for (const auto& voter : otherVoters()) {
     if (pendingVoters_.insert(voter).second) ask(voter, *request, heldText);
   }
--- a/src/control/config_change.hpp
+++ b/src/control/config_change.hpp
@@ -12,7 +12,8 @@
 #include "base/ids.hpp"
 #include "config/change_history.hpp"
 #include "config/config_text.hpp"
-#include "consensus/register.hpp"
+#include "consensus/proposer.hpp"
+#include "consensus/register_value.hpp"
 
 namespace merlingauge::control {
 
--- a/src/control/proposal_runner.cpp
+++ b/src/control/proposal_runner.cpp
@@ -3,6 +3,8 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "consensus/message_codec.hpp"
+
 namespace merlingauge::control {
 
 using consensus::Proposer;
@@ -84,7 +86,8 @@
 void ProposalRunner::sendToPeer(const ProposalPtr& proposal,
                                 const Proposer::OutgoingRequest& outgoing) {
   const auto timeout = kVoterCallTimeout + consensus::extraRoundTime(outgoing.request.value);
-  rpc_.call(outgoing.recipient, kRegisterRpcPath, toJson(outgoing.request, &textCache_), timeout,
+  rpc_.call(outgoing.recipient, kRegisterRpcPath,
+            toJson(outgoing.request, outgoing.receiver, &textCache_), timeout,
             [this, proposal, from = outgoing.recipient,
              round = outgoing.round](const std::optional<json>& response) {
               if (!response) return;
--- a/src/control/proposal_runner.hpp
+++ b/src/control/proposal_runner.hpp
@@ -9,7 +9,8 @@
 
 #include "base/time.hpp"
 #include "config/config_text.hpp"
-#include "consensus/register.hpp"
+#include "consensus/messages.hpp"
+#include "consensus/proposer.hpp"
 #include "consensus/register_replica.hpp"
 #include "consensus/staleness_bound.hpp"
 #include "control/acceptor_host.hpp"
--- a/src/control/proposal_timing.cpp
+++ b/src/control/proposal_timing.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "consensus/register.hpp"
+#include "consensus/proposer.hpp"
 
 namespace merlingauge::control {
 
--- a/src/control/register_observer.hpp
+++ b/src/control/register_observer.hpp
@@ -1,7 +1,7 @@
 // register_observer.hpp: who is notified of newly committed values.
 #pragma once
 
-#include "consensus/register.hpp"
+#include "consensus/register_value.hpp"
 
 namespace merlingauge::control {
 
--- a/src/control/register_service.cpp
+++ b/src/control/register_service.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "consensus/value_codec.hpp"
+
 namespace merlingauge::control {
 
 using consensus::RegisterValue;
--- a/src/control/register_service.hpp
+++ b/src/control/register_service.hpp
@@ -11,8 +11,10 @@
 
 #include "base/time.hpp"
 #include "config/config_text.hpp"
-#include "consensus/register.hpp"
+#include "consensus/messages.hpp"
+#include "consensus/proposer.hpp"
 #include "consensus/register_replica.hpp"
+#include "consensus/register_value.hpp"
 #include "consensus/staleness_bound.hpp"
 #include "consensus/voter_set.hpp"
 #include "control/acceptor_host.hpp"
--- a/src/gossip/control_node_directory.cpp
+++ b/src/gossip/control_node_directory.cpp
@@ -1,6 +1,6 @@
 #include "gossip/control_node_directory.hpp"
 
-#include "consensus/register.hpp"
+#include "consensus/register_value.hpp"
 
 namespace merlingauge::gossip {
 
--- a/src/gossip/gossip_client.cpp
+++ b/src/gossip/gossip_client.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "base/decode_error.hpp"
-#include "consensus/register.hpp"
+#include "consensus/register_value.hpp"
 
 namespace merlingauge::gossip {
 
--- a/src/gossip/gossip_server.cpp
+++ b/src/gossip/gossip_server.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "consensus/register.hpp"
+#include "consensus/register_value.hpp"
 
 namespace merlingauge::gossip {
 
--- a/src/gossip/quorum_lease.cpp
+++ b/src/gossip/quorum_lease.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "consensus/register.hpp"
+#include "consensus/register_value.hpp"
 
 namespace merlingauge::gossip {
 
--- a/src/node/config_applier.hpp
+++ b/src/node/config_applier.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "config/route_table.hpp"
-#include "consensus/register.hpp"
+#include "consensus/register_value.hpp"
 
 namespace merlingauge::node {
 
--- a/src/node/peer_endpoint.cpp
+++ b/src/node/peer_endpoint.cpp
@@ -7,6 +7,7 @@
 
 #include "base/decode_error.hpp"
 #include "config/config_schema.hpp"
+#include "consensus/message_codec.hpp"
 #include "control/proposal_runner.hpp"
 #include "gossip/wire_keys.hpp"
 
@@ -68,16 +69,15 @@
 void PeerEndpoint::handleRegisterRequest(const ServerExchange::Ptr& exchange, const json& message,
                                          const Reply& reply) {
   const auto request = consensus::requestFromJson(message, &registerService_.textCache());
-  const bool omitKnownText = request.kind == consensus::RegisterRequest::Kind::prepare;
   const auto receiver = consensus::receiverStateOf(request);
   registerService_.handleRequest(
-      request, [this, exchange, receiver, omitKnownText,
-                reply](const std::optional<consensus::RegisterReply>& answer) {
+      request,
+      [this, exchange, receiver, reply](const std::optional<consensus::RegisterReply>& answer) {
         if (!answer) {
           exchange->respondError(ErrorKind::noQuorum);
           return;
         }
-        reply(toJson(*answer, receiver, &registerService_.textCache(), omitKnownText).dump());
+        reply(toJson(*answer, receiver, &registerService_.textCache()).dump());
       });
 }
 
--- a/src/storage/snapshot_codec.cpp
+++ b/src/storage/snapshot_codec.cpp
@@ -6,8 +6,10 @@
 #include <cstddef>
 #include <cstdint>
 #include <nlohmann/json.hpp>
+#include <stdexcept>
 
 #include "base/decode_error.hpp"
+#include "consensus/acceptor_state_codec.hpp"
 
 namespace merlingauge::storage {
 
@@ -53,11 +55,11 @@
 }  // namespace
 
 std::string encodeSnapshot(const StoredState& state) {
-  const auto acceptor = acceptorIn(state);
+  const auto acceptor = acceptorStateIn(state);
   const json header = {{"format", kFormat},
                        {"version", kVersion},
-                       {"revision", acceptor ? acceptor->value().revision().value : 0},
-                       {"epoch", acceptor ? acceptor->value().epoch : 0},
+                       {"revision", acceptor ? acceptor->value.revision().value : 0},
+                       {"epoch", acceptor ? acceptor->value.epoch : 0},
                        {"head_bytes", state.head.size()},
                        {"text_bytes", state.configText.size()},
                        {"sha1", checksumOf(state)}};
@@ -73,13 +75,16 @@
   if (memberOrNull(header, "sha1") != checksumOf(state)) {
     throw DecodeError("sha1", "the checksum differs");
   }
-  if (!acceptorIn(state)) throw DecodeError("head", "no state of a voter");
+  if (!acceptorStateIn(state)) throw DecodeError("head", "no state of a voter");
   return state;
 }
 
-std::optional<consensus::Acceptor> acceptorIn(const StoredState& state) {
-  return consensus::Acceptor::restore(NodeId(),
-                                      {state.head, config::ConfigText::create(state.configText)});
+std::optional<consensus::AcceptorState> acceptorStateIn(const StoredState& state) {
+  try {
+    return consensus::decodeState({state.head, config::ConfigText::create(state.configText)});
+  } catch (const std::runtime_error&) {  // DecodeError or MissingCachedText
+    return std::nullopt;
+  }
 }
 
 }  // namespace merlingauge::storage
--- a/src/storage/snapshot_codec.hpp
+++ b/src/storage/snapshot_codec.hpp
@@ -15,7 +15,7 @@
 #include <optional>
 #include <string>
 
-#include "consensus/register.hpp"
+#include "consensus/acceptor_state.hpp"
 #include "storage/stored_state.hpp"
 
 namespace merlingauge::storage {
@@ -27,7 +27,7 @@
 /// version, cut off or damaged, or where the state isn't that of a voter.
 StoredState decodeSnapshot(const std::string& bytes);
 
-/// The acceptor that a stored state is of; none where it can't be one.
-std::optional<consensus::Acceptor> acceptorIn(const StoredState& state);
+/// The acceptor's state in a stored record; none where it holds none.
+std::optional<consensus::AcceptorState> acceptorStateIn(const StoredState& state);
 
 }  // namespace merlingauge::storage
--- a/src/storage/state_snapshot.cpp
+++ b/src/storage/state_snapshot.cpp
@@ -14,6 +14,7 @@
 #include <variant>
 
 #include "base/decode_error.hpp"
+#include "consensus/acceptor_state_codec.hpp"
 #include "storage/directory_lock.hpp"
 #include "storage/file_descriptor.hpp"
 #include "storage/snapshot_codec.hpp"
@@ -116,7 +117,7 @@
   StateDatabase database(copy.string(), dataBytes + kCopyMapSlackBytes);
   auto loaded = database.load();
   auto* state = std::get_if<StoredState>(&loaded);
-  if (state == nullptr || !acceptorIn(*state)) return std::nullopt;
+  if (state == nullptr || !acceptorStateIn(*state)) return std::nullopt;
   return std::move(*state);
 }
 
@@ -154,15 +155,13 @@
 }
 
 // Writes the state as that of a new incarnation, which has to recover before it votes.
-SnapshotResult writeFenced(StoredState state, const std::string& store) {
-  const auto fenced = consensus::Acceptor::fencedState(
-      {std::move(state.head), config::ConfigText::create(std::move(state.configText))},
-      randomBits());
-  if (!fenced) return {Status::corrupt, "the snapshot holds no state of a voter"};
-  const auto mapBytes =
-      kMapBytesPerTextByte * fenced->configText->text().size() + kRestoreMapSlackBytes;
+SnapshotResult writeFenced(const StoredState& state, const std::string& store) {
+  const auto voter = acceptorStateIn(state);
+  if (!voter) return {Status::corrupt, "the snapshot holds no state of a voter"};
+  const auto fenced = consensus::encodeState(consensus::fenced(*voter, randomBits()));
+  const auto mapBytes = kMapBytesPerTextByte * state.configText.size() + kRestoreMapSlackBytes;
   StateDatabase database(store, mapBytes);
-  if (const auto error = database.commit({fenced->head, fenced->configText})) {
+  if (const auto error = database.commit({fenced.head, fenced.configText})) {
     return {Status::outputFailed, "can't write " + store + ": " + error->message()};
   }
   return {Status::ok, store + ": restored; the node reads the other voters before it votes"};
@@ -181,12 +180,12 @@
     if (!copy.created()) return {Status::outputFailed, "can't write " + copy.path().string()};
     state = readWhileWritten(store, copy.path());
   }
-  const auto acceptor = state ? acceptorIn(*state) : std::nullopt;
+  const auto acceptor = state ? acceptorStateIn(*state) : std::nullopt;
   if (!acceptor) return {Status::corrupt, "the state in " + store.string() + " can't be read"};
   if (!replaceFile(file, encodeSnapshot(*state))) {
     return {Status::outputFailed, "can't write " + file};
   }
-  return {Status::ok, file + ": version " + std::to_string(acceptor->value().revision().value)};
+  return {Status::ok, file + ": version " + std::to_string(acceptor->value.revision().value)};
 }
 
 SnapshotResult restoreSnapshot(const std::string& file, const std::string& dataDirectory,
@@ -206,7 +205,7 @@
     }
     fs::remove_all(store, ignored);
   }
-  return writeFenced(std::get<StoredState>(std::move(read)), store.string());
+  return writeFenced(std::get<StoredState>(read), store.string());
 }
 
 SnapshotResult showSnapshot(const std::string& file) {
--- a/tests/compatibility/fixture_writer.cpp
+++ b/tests/compatibility/fixture_writer.cpp
@@ -9,7 +9,8 @@
 #include <iomanip>
 
 #include "compatibility/recorder.hpp"
-#include "consensus/register.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/message_codec.hpp"
 #include "gossip/gossip_service.hpp"
 
 namespace merlingauge::test {
@@ -808,11 +809,10 @@
   Acceptor voter(NodeId("10.0.1.1"), consensus::firstIncarnation(7), true);
   config::ConfigTextCache textCache;
   const auto say = [&](const RegisterRequest& ask) {
-    const auto body = toJson(ask, &textCache).dump();
+    const auto body = toJson(ask, {}, &textCache).dump();
     const auto out = voter.handle(consensus::requestFromJson(json::parse(body), &textCache));
-    const bool spare = ask.kind == RegisterRequest::Kind::prepare;
     collection.offer("/register", body, 200,
-                     toJson(out.reply, consensus::receiverStateOf(ask), &textCache, spare).dump(),
+                     toJson(out.reply, consensus::receiverStateOf(ask), &textCache).dump(),
                      "library");
     consensus::cacheTexts(textCache, voter.value());
   };
@@ -842,7 +842,7 @@
   say(accept(2, large, texts.rbegin()->first));
   RegisterRequest reads = prepare(5);
   reads.knownValueId = "another stamp";
-  reads.textId = large->id();
+  reads.cachedTextId = large->id();
   say(reads);
   RegisterRequest rejoin;
   rejoin.kind = RegisterRequest::Kind::rejoin;
@@ -855,7 +855,7 @@
   RegisterRequest fetch;
   fetch.kind = RegisterRequest::Kind::fetch;
   fetch.sender = NodeId("10.0.1.2");
-  fetch.textId = large->id();
+  fetch.wantedTextId = large->id();
   say(fetch);
 }
 
--- a/tests/compatibility/stored_and_peer_formats_test.cpp
+++ b/tests/compatibility/stored_and_peer_formats_test.cpp
@@ -11,7 +11,9 @@
 #include <set>
 #include <sstream>
 
-#include "consensus/register.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/acceptor_state_codec.hpp"
+#include "consensus/message_codec.hpp"
 #include "control/config_change.hpp"
 #include "gossip/gossip_service.hpp"
 #include "proxy/peer_headers.hpp"
@@ -193,6 +195,7 @@
     reader.textId = value.at("i").get<std::uint64_t>();
   }
   reader.wantsHistory = travels(value, "h");
+  reader.wantsLargeText = !travels(value, "m");
   if (!reader.wantsHistory) return reader;
   const auto& h = value.at("h");
   if (travels(h, "o")) {
@@ -217,7 +220,7 @@
 json writtenAgain(const json& recorded) {
   auto textCache = shelfFor(recorded);
   const auto value = consensus::valueFromJson(recorded, &textCache);
-  return toJson(value, readerOfRecorded(recorded), &textCache, travels(recorded, "m"));
+  return toJson(value, readerOfRecorded(recorded), &textCache);
 }
 
 // The names and kinds of what a message holds, without its values.
@@ -262,9 +265,8 @@
   }
   Acceptor restore() {
     const auto loaded = load();
-    auto acceptor = Acceptor::restore(kVoter, {loaded.head, ConfigText::create(loaded.configText)});
-    if (!acceptor) throw std::runtime_error("the record is not a voter's state");
-    return *acceptor;
+    return Acceptor(kVoter,
+                    consensus::decodeState({loaded.head, ConfigText::create(loaded.configText)}));
   }
   static RegisterRequest prepare(std::uint64_t number) {
     RegisterRequest ask;
@@ -347,7 +349,7 @@
 
 TEST_F(Store, IsWrittenAgainByteForByte) {
   const auto loaded = load();
-  const auto saved = restore().persistedState();
+  const auto saved = consensus::encodeState(restore().state());
   EXPECT_EQ(saved.head, loaded.head);
   ASSERT_TRUE(saved.configText);
   EXPECT_EQ(saved.configText->text(), loaded.configText);
@@ -356,7 +358,7 @@
 TEST_F(Store, IsWrittenToAndReadAgain) {
   auto acceptor = restore();
   acceptor.handle(prepare(9));
-  const auto saved = acceptor.persistedState();
+  const auto saved = consensus::encodeState(acceptor.state());
   {
     StateDatabase store(registerFolder().string(), kDiskBytes);
     ASSERT_TRUE(std::holds_alternative<StoredState>(store.load()));
@@ -415,27 +417,22 @@
   const auto recorded = message(GetParam()).ask;
   ConfigTextCache textCache;
   if (recorded.contains("v")) textCache = shelfFor(recorded.at("v"));
-  auto ask = consensus::requestFromJson(recorded, &textCache);
-  if (recorded.contains("v")) {
-    const auto reader = readerOfRecorded(recorded.at("v"));
-    ask.textId = reader.textId;
-    ask.historyId = reader.historyId;
-  }
-  EXPECT_EQ(toJson(ask, &textCache), recorded);
+  const auto ask = consensus::requestFromJson(recorded, &textCache);
+  ReceiverState reader;
+  if (recorded.contains("v")) reader = readerOfRecorded(recorded.at("v"));
+  EXPECT_EQ(toJson(ask, reader, &textCache), recorded);
 }
 
 TEST_P(RegisterMessage, AnswerIsReadAndWrittenAsItWas) {
   const auto recorded = message(GetParam()).answer;
   ConfigTextCache textCache;
   ReceiverState reader;
-  bool spare = false;
   if (recorded.contains("v")) {
     textCache = shelfFor(recorded.at("v"));
     reader = readerOfRecorded(recorded.at("v"));
-    spare = recorded.at("v").contains("m");
   }
   const auto reply = consensus::replyFromJson(recorded, &textCache);
-  EXPECT_EQ(toJson(reply, reader, &textCache, spare), recorded);
+  EXPECT_EQ(toJson(reply, reader, &textCache), recorded);
 }
 
 TEST_P(RegisterMessage, AskIsAnsweredInTheRecordedWay) {
@@ -463,16 +460,13 @@
                      {"accepted", toJson(answered.acceptedBallot)},
                      {"value", toJson(held, ReceiverState{answered.textId, 0})},
                      {"lives", recorded.answer.value("l", json::object())}};
-  auto acceptor = Acceptor::restore(kVoter, {head.dump(), held.config});
-  ASSERT_TRUE(acceptor);
-  const auto out = acceptor->handle(ask);
+  Acceptor acceptor(kVoter, consensus::decodeState({head.dump(), held.config}));
+  const auto out = acceptor.handle(ask);
   ReceiverState reader;
-  bool spare = false;
   if (recorded.answer.contains("v")) {
     reader = readerOfRecorded(recorded.answer.at("v"));
-    spare = recorded.answer.at("v").contains("m");
   }
-  EXPECT_EQ(toJson(out.reply, reader, &told, spare), recorded.answer);
+  EXPECT_EQ(toJson(out.reply, reader, &told), recorded.answer);
 }
 
 INSTANTIATE_TEST_SUITE_P(OfVersion010, RegisterMessage,
@@ -486,8 +480,8 @@
   EXPECT_EQ(ask.sender, kSecond);
   EXPECT_GT(ask.ballot.number, 0U);
   EXPECT_EQ(ask.ballot.author.str().substr(0, 12), "127.144.0.2#");
-  EXPECT_EQ(ask.textId, 9992145120209839045U);
-  EXPECT_EQ(ask.historyId, 16438642009397107831U);
+  EXPECT_EQ(ask.cachedTextId, 9992145120209839045U);
+  EXPECT_EQ(ask.cachedHistoryId, 16438642009397107831U);
   EXPECT_FALSE(ask.knownValueId.empty());
 }
 
@@ -520,10 +514,10 @@
   EXPECT_EQ(value.missingTextId, named.at("v").at("i").get<std::uint64_t>());
   const auto fetch = consensus::requestFromJson(message("register-fetch").ask);
   EXPECT_EQ(fetch.kind, RegisterRequest::Kind::fetch);
-  EXPECT_EQ(fetch.textId, 3636043726234239095U);
+  EXPECT_EQ(fetch.wantedTextId, 3636043726234239095U);
   const auto brought = consensus::replyFromJson(message("register-fetch").answer).value;
   ASSERT_TRUE(brought.config);
-  EXPECT_EQ(brought.config->id(), fetch.textId);
+  EXPECT_EQ(brought.config->id(), fetch.wantedTextId);
   EXPECT_EQ(brought.configRevision, Revision{17});
   EXPECT_EQ(brought.epoch, 4U);
   EXPECT_FALSE(brought.history);
--- a/tests/consensus/incarnation_test.cpp
+++ b/tests/consensus/incarnation_test.cpp
@@ -1,11 +1,11 @@
 // incarnation_test.cpp: the order of incarnations, on which the rejoin protocol rests.
+#include "consensus/incarnation.hpp"
+
 #include <gtest/gtest.h>
 
 #include <cstdint>
 #include <limits>
 
-#include "consensus/register.hpp"
-
 namespace merlingauge::consensus {
 namespace {
 
--- a/tests/loopback/hostile_input_test.cpp
+++ b/tests/loopback/hostile_input_test.cpp
@@ -9,7 +9,8 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "consensus/register.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/message_codec.hpp"
 #include "gossip/gossip_service.hpp"
 #include "loopback/proxy_path.hpp"
 #include "simulation/scenario_runner.hpp"
@@ -531,13 +532,13 @@
     ask.sender = NodeId("10.0.0.2");
     ask.ballot = {5, NodeId("10.0.0.2")};
     ask.value = value;
-    ask.textId = textCache.find(0) ? 0 : 7;
+    ask.cachedTextId = ask.wantedTextId = textCache.find(0) ? 0 : 7;
     consensus::RegisterReply reply;
     reply.granted = true;
     reply.promisedBallot = reply.acceptedBallot = ask.ballot;
     reply.value = value;
-    for (const auto& text :
-         {toJson(ask, &textCache).dump(), toJson(reply).dump(), toJson(value).dump()}) {
+    for (const auto& text : {toJson(ask, {ask.cachedTextId}, &textCache).dump(),
+                             toJson(reply).dump(), toJson(value).dump()}) {
       const auto document = json::parse(spoiledJson(text, random), nullptr, false);
       if (document.is_discarded()) continue;
       ++heard;
@@ -550,8 +551,8 @@
       };
       tried([&] { (void)acceptor.handle(consensus::requestFromJson(document, &textCache)); });
       tried([&] {
-        (void)toJson(consensus::replyFromJson(document, &textCache), consensus::ReceiverState{},
-                     &textCache, true)
+        (void)toJson(consensus::replyFromJson(document, &textCache),
+                     consensus::ReceiverState{0, 0, true, false}, &textCache)
             .dump();
       });
       tried([&] {
--- a/tests/loopback/lightweight_node.hpp
+++ b/tests/loopback/lightweight_node.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "consensus/register.hpp"
+#include "consensus/value_codec.hpp"
 #include "event/event_loop.hpp"
 #include "gossip/gossip_service.hpp"
 #include "http/server_connection.hpp"
--- a/tests/simulation/gossip_world.cpp
+++ b/tests/simulation/gossip_world.cpp
@@ -7,6 +7,11 @@
 #include <optional>
 #include <set>
 
+#include "consensus/acceptor.hpp"
+#include "consensus/acceptor_state_codec.hpp"
+#include "consensus/proposer.hpp"
+#include "consensus/quorum.hpp"
+#include "consensus/value_codec.hpp"
 #include "gossip/gossip_service.hpp"
 #include "simulation/scenario_runner.hpp"
 
@@ -41,7 +46,7 @@
   std::uint64_t lowest = 0;  // what it must not fall below within a life
   StalenessBound evidence;
   std::optional<Acceptor> ledge;
-  std::optional<Acceptor::PersistedState> disk;
+  std::optional<consensus::StoredAcceptorState> disk;
   double aheadSince = -1;  // a value accepted, not known to be chosen
   bool reading = false;
   bool joins = false;  // comes in the middle, with seeds of its own
@@ -73,7 +78,8 @@
     for (std::size_t i = 0; i < voters; ++i) {
       auto& post = *posts_.at(i);
       voters_.push_back(post.id);
-      post.disk = Acceptor(post.id, Incarnation{clock_.random() >> 1}, true).persistedState();
+      const Acceptor first(post.id, Incarnation{clock_.random() >> 1}, true);
+      post.disk = consensus::encodeState(first.state());
     }
     for (const auto* line : linesOf(s_, "fault")) faults_.insert(line->words.at(1));
     for (const auto* line : linesOf(s_, "at")) {
@@ -141,7 +147,7 @@
     post.reading = false;
     post.wasCurrent = false;
     if (post.disk) {
-      post.ledge = Acceptor::restore(post.id, *post.disk);
+      post.ledge.emplace(post.id, consensus::decodeState(*post.disk));
       post.known.voters = voters_;
       post.evidence.onAccepted(post.ledge->value().sequence, StalenessBound::kNever);
     }
@@ -371,7 +377,7 @@
       if (!to.up() || !to.ledge || (&from != &to && !arrives(from.id, to.id))) return;
       const auto out = to.ledge->handle(ask);
       to.evidence.onAccepted(to.ledge->value().sequence, clock_.now());
-      to.disk = to.ledge->persistedState();
+      to.disk = consensus::encodeState(to.ledge->state());
       noteChosen();
       clock_.after(delay() + (out.syncBeforeSend ? 2 : 0),
                    [this, &from, &to, incarnation = to.life, reply = out.reply, back] {
--- a/tests/simulation/register_explorer.cpp
+++ b/tests/simulation/register_explorer.cpp
@@ -12,7 +12,11 @@
 #include <unordered_set>
 
 #include "base/hash.hpp"
-#include "consensus/register.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/acceptor_state_codec.hpp"
+#include "consensus/message_codec.hpp"
+#include "consensus/proposer.hpp"
+#include "consensus/quorum.hpp"
 #include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
@@ -65,10 +69,10 @@
   std::uint64_t hash = 0;
 
   void seal() {
-    const auto head = ledge.persistedState().head;
+    const auto head = consensus::encodeState(ledge.state()).head;
     std::string text = head +
                        (!disk   ? "-"
-                        : dirty ? disk->persistedState().head
+                        : dirty ? consensus::encodeState(disk->state()).head
                                 : "=") +
                        (dirty ? "d" : "") + std::to_string(wiped) + known.uniqueId + "/" +
                        std::to_string(known.epoch);
@@ -756,8 +760,9 @@
     if (!n.ledge.recovered() || (!out.syncBeforeSend && !n.dirty && n.unsynced.empty()) ||
         fault("unsynced")) {
       n.dirty = n.dirty || fault("unsynced");
-      const bool rests = !n.ledge.recovered() ||
-                         (n.disk && n.disk->persistedState().head == n.ledge.persistedState().head);
+      const bool rests =
+          !n.ledge.recovered() || (n.disk && consensus::encodeState(n.disk->state()).head ==
+                                                 consensus::encodeState(n.ledge.state()).head);
       if (!rests && !fault("unsynced")) state.broken = "a reply doesn't rest on synced state";
       if (heard) put(state, std::move(back));
       return;
@@ -787,7 +792,8 @@
       n.asked.clear();
       n.dirty = false;
       if (n.disk) {
-        n.ledge = *Acceptor::restore(ids_[i], n.disk->persistedState());
+        const auto stored = consensus::encodeState(n.disk->state());
+        n.ledge = Acceptor(ids_[i], consensus::decodeState(stored));
         if (n.ledge.value().epoch > 0) {
           n.known.voters = n.ledge.value().voters;
           n.known.previousVoters = n.ledge.value().previousVoters;
@@ -813,9 +819,7 @@
     edit(state.history, [&](History& h) {
       auto& votes = h.accepts[{acceptor.acceptedBallot(), value.uniqueId}];
       // A woken one votes for what it has read only if it did so before, or promised nothing since.
-      const auto promised = consensus::ballotFromJson(
-          nlohmann::json::parse(acceptor.persistedState().head).at("promised"));
-      if (promised == acceptor.acceptedBallot()) votes.ever.insert(i);
+      if (acceptor.state().promisedBallot == acceptor.acceptedBallot()) votes.ever.insert(i);
       votes.wiped.erase(i);
       for (const auto node : votes.ever) {
         if (!votes.wiped.contains(node)) have.insert(ids_[node]);
--- a/tests/simulation/register_world.cpp
+++ b/tests/simulation/register_world.cpp
@@ -7,7 +7,11 @@
 #include <optional>
 #include <set>
 
-#include "consensus/register.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/acceptor_state_codec.hpp"
+#include "consensus/message_codec.hpp"
+#include "consensus/proposer.hpp"
+#include "consensus/quorum.hpp"
 #include "consensus/voter_set.hpp"
 #include "control/config_change.hpp"
 #include "simulation/scenario_runner.hpp"
@@ -26,15 +30,15 @@
 
 struct Machine {
   NodeId id;
-  std::optional<Acceptor> ledge;                 // empty: the process is down
-  std::optional<Acceptor::PersistedState> disk;  // what a power cut leaves
+  std::optional<Acceptor> ledge;                       // empty: the process is down
+  std::optional<consensus::StoredAcceptorState> disk;  // what a power cut leaves
   bool wiped = false;
   int life = 0;          // of the process; answers to an older one are lost
   double hungUntil = 0;  // disk
   bool full = false;
   double frozenUntil = 0;
   RegisterValue known;
-  std::optional<Acceptor::PersistedState> snapshot;
+  std::optional<consensus::StoredAcceptorState> snapshot;
   double bootAt = -1;            // until it has caught up
   std::uint64_t bootBehind = 0;  // what had been acknowledged by then
   config::ConfigTextCache shelf;
@@ -103,7 +107,7 @@
       if (static_cast<int>(++started_) > running_) continue;
       m->known.voters = first_;
       m->ledge.emplace(m->id, consensus::firstIncarnation(clock_.random()), true);
-      m->disk = m->ledge->persistedState();
+      m->disk = consensus::encodeState(m->ledge->state());
     }
   }
 
@@ -177,7 +181,7 @@
     double incarnations = 0;  // most that a voter keeps of one node
     for (const auto& m : machines_) {
       if (!m->ledge) continue;
-      const auto head = nlohmann::json::parse(m->ledge->persistedState().head);
+      const auto head = nlohmann::json::parse(consensus::encodeState(m->ledge->state()).head);
       for (const auto& list : head.at("lives")) {
         incarnations = std::max(incarnations, static_cast<double>(list.size()));
       }
@@ -238,8 +242,9 @@
         down(m, true, std::stod(w.at(4)));
         if (m.snapshot) {
           // A fault of its own: the promises since are forgotten, and nobody is asked.
-          m.disk =
-              fault("unfenced") ? m.snapshot : Acceptor::fencedState(*m.snapshot, clock_.random());
+          m.disk = fault("unfenced") ? m.snapshot
+                                     : consensus::encodeState(consensus::fenced(
+                                           consensus::decodeState(*m.snapshot), clock_.random()));
           m.wiped = false;
         }
       } else if (what == "hang") {
@@ -295,7 +300,7 @@
     ++m.life;
     m.known = RegisterValue{};
     if (!duties()) m.known.voters = first_;
-    if (m.disk) m.ledge = Acceptor::restore(m.id, *m.disk);
+    if (m.disk) m.ledge.emplace(m.id, consensus::decodeState(*m.disk));
     if (duties()) {
       if (m.ledge) {
         const auto& value = m.ledge->value();
@@ -493,14 +498,13 @@
              const std::vector<Proposer::OutgoingRequest>& sends) {
     const int incarnation = m.life;
     for (const auto& send : sends) {
-      const auto sent = toJson(send.request, &m.shelf).dump();
+      const auto sent = toJson(send.request, send.receiver, &m.shelf).dump();
       sentBytes_ += static_cast<double>(sent.size());
       deliver(m.id, send.recipient, [this, &m, call, proposer, send, sent, incarnation] {
         auto& voter = machine(send.recipient.str());
         answer(voter, sent, [this, &m, &voter, call, proposer, send, incarnation](RegisterReply r) {
-          const bool spare = send.request.kind == RegisterRequest::Kind::prepare;
           const auto text =
-              toJson(r, consensus::receiverStateOf(send.request), &voter.shelf, spare).dump();
+              toJson(r, consensus::receiverStateOf(send.request), &voter.shelf).dump();
           sentBytes_ += static_cast<double>(text.size());
           deliver(send.recipient, m.id, [this, &m, call, proposer, send, incarnation, text] {
             if (m.life != incarnation || proposer->result()) return;
@@ -609,7 +613,7 @@
     if (fault("untold")) out.reply.incarnations.clear();
     consensus::cacheTexts(m.shelf, m.ledge->value());
     const int incarnation = m.life;
-    const auto state = m.ledge->persistedState();
+    const auto state = consensus::encodeState(m.ledge->state());
     const auto order = ++m.saves;
     const double hung = std::max(0.0, m.hungUntil - clock_.ms());
     clock_.after(hung + clock_.uniform(0.5, 2),
@@ -867,10 +871,10 @@
       std::size_t lost = 0;
       for (const auto& id : *set) {
         const auto& m = machine(id.str());
-        const auto saved = m.disk ? Acceptor::restore(id, *m.disk) : std::nullopt;
-        if (!saved || !saved->recovered()) {
+        const auto saved = m.disk ? std::optional(consensus::decodeState(*m.disk)) : std::nullopt;
+        if (!saved || !saved->recovered) {
           ++lost;
-        } else if (saved->value().sequence >= newest.sequence) {
+        } else if (saved->value.sequence >= newest.sequence) {
           ++holders;
         }
       }
--- a/tests/simulation/storage_snapshot.cpp
+++ b/tests/simulation/storage_snapshot.cpp
@@ -8,7 +8,8 @@
 #include <thread>
 
 #include "base/decode_error.hpp"
-#include "consensus/register.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/acceptor_state_codec.hpp"
 #include "event/event_loop.hpp"
 #include "simulation/storage_world.hpp"
 #include "storage/durable_store.hpp"
@@ -41,7 +42,7 @@
                                  std::string(5000 + changes % 97 * 100, 'x') + "\"}");
   request.value.voters = {NodeId("n1"), NodeId("n2"), NodeId("n3")};
   require(acceptor.handle(request).reply.granted, "the record can't be made");
-  const auto saved = acceptor.persistedState();
+  const auto saved = consensus::encodeState(acceptor.state());
   return {saved.head, saved.configText};
 }
 
@@ -96,8 +97,9 @@
     const auto loaded = store.load();
     const auto* state = std::get_if<StoredState>(&loaded);
     if (state == nullptr) return std::nullopt;
-    return Acceptor::restore(NodeId("n1"),
-                             {state->head, config::ConfigText::create(state->configText)});
+    return Acceptor(
+        NodeId("n1"),
+        consensus::decodeState({state->head, config::ConfigText::create(state->configText)}));
   }
 
   // The text in a snapshot is that of its head, or it would not have been read; and none is older
@@ -183,9 +185,9 @@
       auto forged = *state;
       mutate(forged.head);
       if (const auto again = decoded(storage::encodeSnapshot(forged))) {
-        const auto fenced =
-            Acceptor::fencedState({again->head, config::ConfigText::create(again->configText)}, 3);
-        require(fenced.has_value(), "what was read can't be restored");
+        const auto voter = storage::acceptorStateIn(*again);
+        require(voter.has_value(), "what was read can't be restored");
+        (void)consensus::encodeState(consensus::fenced(*voter, 3));
         ++read;
       }
     }
