--- a/src/control/control_api.cpp
+++ b/src/control/control_api.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <string_view>
 
-#include "rpc/peer_rpc.hpp"
+#include "rpc/request_body.hpp"
 
 namespace merlingauge::control {
 
--- a/src/node/peer_endpoint.cpp
+++ b/src/node/peer_endpoint.cpp
@@ -10,6 +10,7 @@
 #include "consensus/message_codec.hpp"
 #include "control/proposal_runner.hpp"
 #include "gossip/wire_keys.hpp"
+#include "rpc/request_body.hpp"
 
 namespace merlingauge::node {
 
--- a/src/rpc/peer_rpc.cpp
+++ b/src/rpc/peer_rpc.cpp
@@ -16,112 +16,94 @@
 using Poco::Net::HTTPMessage;
 using Poco::Net::HTTPRequest;
 using Poco::Net::HTTPResponse;
+using Poco::Net::SocketAddress;
 
 namespace {
-constexpr std::size_t kAnswerLimit = 16U << 20;
-constexpr Duration kFreshness = std::chrono::seconds(10);
+// Twice the largest configuration, which the largest messages carry beside registry items.
+constexpr std::size_t kMaxResponseBytes = 16U << 20;
+// The peer is in the same data centre, or a zone away; a connection that takes longer won't come.
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
+// Pulls keep a connection busy every few seconds; one that is idle for this long is of a former
+// peer.
+constexpr Duration kIdleTimeout = std::chrono::seconds(15);
+constexpr int kIdleConnectionsPerPeer = 4;
+// A pooled connection idle for longer is not used again: the peer may just be closing it.
+constexpr Duration kMaxIdleForReuse = std::chrono::seconds(10);
 }  // namespace
 
-PeerRpc::PeerRpc(event::EventLoop& loop, std::uint16_t port)
-    : loop_(loop),
-      port_(port),
-      pool_(loop, {std::chrono::milliseconds(500), std::chrono::seconds(15), 4}) {}
-
 struct PeerRpc::PendingCall {
-  RawResponse raw;
+  int status = 0;
+  std::string body;
   ClientExchange::Ptr exchange;
   event::EventLoop::TimerId timer = 0;
-  std::function<void(std::optional<RawResponse>)> onResponse;
+  ResponseCallback onResponse;
 };
 
+PeerRpc::PeerRpc(event::EventLoop& loop, std::uint16_t port)
+    : loop_(loop),
+      port_(port),
+      pool_(loop, {kConnectTimeout, kIdleTimeout, kIdleConnectionsPerPeer}) {}
+
 PeerRpc::~PeerRpc() {
-  for (auto& [id, pending] : pending_) {
-    loop_.cancel(pending->timer);
-    pending->exchange->cancel();
+  for (auto& [id, call] : pendingCalls_) {
+    loop_.cancel(call->timer);
+    call->exchange->cancel();
   }
 }
 
-void PeerRpc::finish(std::uint64_t id, bool ok) {
-  auto node = pending_.extract(id);
+void PeerRpc::finish(CallId id, CallResult result) {
+  const auto node = pendingCalls_.extract(id);
   if (node.empty()) return;
-  const auto pending = node.mapped();
-  loop_.cancel(pending->timer);
-  pending->exchange->cancel();
-  pending->onResponse(ok ? std::make_optional(std::move(pending->raw)) : std::nullopt);
+  const auto call = node.mapped();
+  loop_.cancel(call->timer);
+  call->exchange->cancel();
+  call->onResponse(result == CallResult::complete ? decodeResponse(*call) : std::nullopt);
 }
 
-void PeerRpc::forward(const Poco::Net::SocketAddress& to, const HTTPRequest& request,
-                      const std::string& body, Duration limit,
-                      std::function<void(std::optional<RawResponse>)> answer) {
-  const auto id = ++lastId_;
-  const auto pending = std::make_shared<PendingCall>();
-  pending_[id] = pending;
-  pending->onResponse = std::move(answer);
-  HTTPRequest out = request;
-  const FramingKind kind = body.empty() ? FramingKind::none : FramingKind::contentLength;
-  http::setFramingHeaders({kind, body.size()}, out);
-  auto& call = pending->exchange;
-  call = pool_.startExchange(to, out, kind, kFreshness);
-  const std::weak_ptr<PendingCall> weak = pending;
-  call->onResponseHead = [weak](HTTPResponse& response, const BodyFraming&) {
-    const auto p = weak.lock();
-    if (!p) return;
-    p->raw.status = response.getStatus();
-    p->raw.reason = response.getReason();
-    p->raw.type = response.get(HTTPMessage::CONTENT_TYPE, "");
-  };
-  call->onBody = [this, id, weak](std::string& bytes) {
-    const auto p = weak.lock();
-    if (!p) return;
-    p->raw.body.append(bytes);
-    bytes.clear();
-    if (p->raw.body.size() > kAnswerLimit) finish(id, false);
-  };
-  call->onComplete = [this, id] { finish(id, true); };
-  call->onFailure = [this, id](ClientExchange::Failure) { finish(id, false); };
-  pending->timer = loop_.after(limit, [this, id] { finish(id, false); });
-  if (kind != FramingKind::none) {
-    call->sendBody(body);
-    call->endBody();
-  }
+std::optional<json> PeerRpc::decodeResponse(const PendingCall& call) {
+  if (call.status != HTTPResponse::HTTP_OK) return std::nullopt;
+  traffic_.responseBytesReceived += call.body.size();
+  return config::parseDocument(call.body);
 }
 
-void PeerRpc::call(const NodeId& to, const std::string& path, const json& body, Duration limit,
-                   ResponseCallback answer) {
-  const Poco::Net::SocketAddress address(to.str(), port_);
+void PeerRpc::call(const NodeId& recipient, const std::string& path, const json& message,
+                   Duration timeout, ResponseCallback onResponse) {
+  const SocketAddress address(recipient.str(), port_);
   HTTPRequest request(HTTPRequest::HTTP_POST, path, HTTPMessage::HTTP_1_1);
-  request.set("Host", to.str());
-  const auto text = body.dump();
+  request.set("Host", recipient.str());
+  const auto body = message.dump();
+  http::setFramingHeaders({FramingKind::contentLength, body.size()}, request);
   ++traffic_.requestsSent;
-  traffic_.requestBytesSent += text.size();
-  forward(address, request, text, limit,
-          [this, answer = std::move(answer)](std::optional<RawResponse> raw) {
-            if (!raw || raw->status != 200) {
-              answer(std::nullopt);
-              return;
-            }
-            traffic_.responseBytesReceived += raw->body.size();
-            answer(config::parseDocument(raw->body));
-          });
+  traffic_.requestBytesSent += body.size();
+
+  const auto id = ++lastCallId_;
+  const auto call = std::make_shared<PendingCall>();
+  pendingCalls_[id] = call;
+  call->onResponse = std::move(onResponse);
+  call->exchange =
+      pool_.startExchange(address, request, FramingKind::contentLength, kMaxIdleForReuse);
+  watchExchange(id, call);
+  call->timer = loop_.after(timeout, [this, id] { finish(id, CallResult::failed); });
+  call->exchange->sendBody(body);
+  call->exchange->endBody();
 }
 
-void whenBodyComplete(const http::ServerExchange::Ptr& exchange,
-                      std::function<void(const std::string&)> then) {
-  if (exchange->bodyComplete) {
-    then(exchange->receivedBody);
-    return;
-  }
-  // `then` holds the visit as a rule: it is let go once it has run, or when the caller has gone.
-  const std::weak_ptr<http::ServerExchange> weak = exchange;
-  exchange->onBody = [weak, then = std::move(then)] {
-    const auto v = weak.lock();
-    if (!v || !v->bodyComplete) return;
-    const auto run = then;
-    v->onBody = nullptr;
-    run(v->receivedBody);
+// The exchange is part of the call, so its callbacks hold the call weakly.
+void PeerRpc::watchExchange(CallId id, const std::shared_ptr<PendingCall>& call) {
+  const std::weak_ptr<PendingCall> weak = call;
+  call->exchange->onResponseHead = [weak](HTTPResponse& head, const BodyFraming&) {
+    if (const auto pending = weak.lock()) pending->status = head.getStatus();
+  };
+  call->exchange->onBody = [this, id, weak](std::string& bytes) {
+    const auto pending = weak.lock();
+    if (!pending) return;
+    pending->body.append(bytes);
+    bytes.clear();
+    if (pending->body.size() > kMaxResponseBytes) finish(id, CallResult::failed);
   };
-  exchange->onClientGone = [weak] {
-    if (const auto v = weak.lock()) v->onBody = nullptr;
+  call->exchange->onComplete = [this, id] { finish(id, CallResult::complete); };
+  call->exchange->onFailure = [this, id](ClientExchange::Failure) {
+    finish(id, CallResult::failed);
   };
 }
 
--- a/tests/loopback/lightweight_node.hpp
+++ b/tests/loopback/lightweight_node.hpp
@@ -14,6 +14,7 @@
 #include "membership/instance_registry.hpp"
 #include "node/gossip_environment.hpp"
 #include "rpc/peer_rpc.hpp"
+#include "rpc/request_body.hpp"
 
 namespace merlingauge::test {
 
