--- a/tests/simulation/storage_power_loss.cpp
+++ b/tests/simulation/storage_power_loss.cpp
@@ -47,7 +47,7 @@
  public:
   PowerLossWorld(const Scenario& scenario, std::uint64_t seed)
       : saves_(static_cast<int>(number(scenario, "saves", 8))),
-        lossesPerSave_(static_cast<int>(number(scenario, "losses", 20))),
+        lossesPerSave_(static_cast<int>(number(scenario, "losses_per_save", 20))),
         clock_(seed),
         directory_(scenario, seed) {}
 
--- a/tests/simulation/storage_text_changes.cpp
+++ b/tests/simulation/storage_text_changes.cpp
@@ -26,10 +26,10 @@
 
 Measurements playTextChanges(const Scenario& scenario, std::uint64_t seed) {
   const int texts = static_cast<int>(number(scenario, "texts", 100));
-  const double minBytes = number(scenario, "least", 1000);
-  const double maxBytes = number(scenario, "most", 400000);
+  const double minBytes = number(scenario, "min_text_bytes", 1000);
+  const double maxBytes = number(scenario, "max_text_bytes", 400000);
   const auto mapBytes = static_cast<std::size_t>(number(scenario, "map_mb", 8)) << 20;
-  const int headsPerText = static_cast<int>(number(scenario, "heads", 2));
+  const int headsPerText = static_cast<int>(number(scenario, "heads_per_text", 2));
   Clock clock(seed);
   const auto randomSize = [&clock](double least, double most) {
     return static_cast<std::size_t>(clock.uniform(least, most));
