--- a/src/proxy/retry_budget.cpp
+++ b/src/proxy/retry_budget.cpp
@@ -5,31 +5,41 @@
 namespace merlingauge::proxy {
 
 namespace {
-// Own firsts pay with a part of the ratio, and of the slack only a part is handed out: nodes count
-// in windows that slide differently, and a repeat's nested calls count too.
-constexpr double kRatioPart = 0.5;
-constexpr double kSlackPart = 0.5;
+
+// Only half of each term of the bound is spent. The nodes' windows slide differently from those by
+// which the bound is judged, and the calls that a retried request makes in turn count as well.
+constexpr double kRatioFraction = 0.5;
+constexpr double kSlackFraction = 0.5;
+
+void dropBefore(std::deque<TimePoint>& times, TimePoint windowStart) {
+  while (!times.empty() && times.front() < windowStart) times.pop_front();
+}
+
 }  // namespace
 
-void RetryBudget::forget(Account& account, TimePoint now) const {
-  for (auto* list : {&account.firstAttempts, &account.retries}) {
-    while (!list->empty() && now - list->front() > options_.window) list->pop_front();
-  }
+RetryBudget::Account& RetryBudget::currentAccount(const ServiceName& service, TimePoint now) {
+  auto& account = accounts_[service];
+  const TimePoint windowStart = now - options_.window;
+  dropBefore(account.firstAttempts, windowStart);
+  dropBefore(account.retries, windowStart);
+  return account;
+}
+
+// The share of the slack is rounded down, so that the shares of all nodes never exceed it.
+double RetryBudget::allowance(const Account& account) const {
+  const auto firstAttempts = static_cast<double>(account.firstAttempts.size());
+  const double slackShare =
+      std::floor(options_.slack * kSlackFraction / static_cast<double>(nodeCount_));
+  return options_.ratio * kRatioFraction * firstAttempts + slackShare;
 }
 
 void RetryBudget::onFirstAttempt(const ServiceName& service, TimePoint now) {
-  auto& account = accounts_[service];
-  forget(account, now);
-  account.firstAttempts.push_back(now);
+  currentAccount(service, now).firstAttempts.push_back(now);
 }
 
 bool RetryBudget::tryConsume(const ServiceName& service, TimePoint now) {
-  auto& account = accounts_[service];
-  forget(account, now);
-  const double share = std::floor(options_.slack * kSlackPart / static_cast<double>(nodeCount_));
-  const double may =
-      options_.ratio * kRatioPart * static_cast<double>(account.firstAttempts.size()) + share;
-  if (static_cast<double>(account.retries.size()) + 1 > may) return false;
+  auto& account = currentAccount(service, now);
+  if (static_cast<double>(account.retries.size()) + 1 > allowance(account)) return false;
   account.retries.push_back(now);
   return true;
 }
