--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -94,12 +94,17 @@
 }
 
 Acceptor::Response Acceptor::handleRejoin(const RegisterRequest& request) {
-  const bool newest = learnIncarnation(request.sender, request.incarnation);
-  auto reply = makeReply(newest);
-  reply.requesterIncarnation =
-      newest ? request.incarnation : state_.incarnations.at(request.sender);
+  const auto known = state_.incarnations.find(request.sender);
+  const bool granted =
+      known == state_.incarnations.end() || mayReplace(known->second, request.incarnation);
+  // A refusal never names less than the requester's own: it would be taken for a late reply.
+  const Incarnation newest =
+      granted ? request.incarnation : std::max(known->second, request.incarnation);
+  if (granted) learnIncarnation(request.sender, request.incarnation);
+  auto reply = makeReply(granted);
+  reply.requesterIncarnation = newest;
   forgetIncarnations(request.sender);
-  return {std::move(reply), newest};
+  return {std::move(reply), granted};
 }
 
 // False where the incarnation is superseded. A first one is below all others and nothing to
--- a/src/consensus/incarnation.cpp
+++ b/src/consensus/incarnation.cpp
@@ -26,6 +26,10 @@
   return makeIncarnation(generation + 1, randomBits);
 }
 
+bool mayReplace(Incarnation recorded, Incarnation candidate) {
+  return candidate == recorded || generationOf(recorded) < generationOf(candidate);
+}
+
 bool isFirstGeneration(Incarnation incarnation) {
   return generationOf(incarnation) <= kFirstGeneration;
 }
--- a/src/consensus/incarnation.hpp
+++ b/src/consensus/incarnation.hpp
@@ -16,9 +16,14 @@
 /// `nextIncarnation` gives.
 [[nodiscard]] Incarnation firstIncarnation(std::uint64_t randomBits);
 /// One of the next generation: above `previous`, whatever the random bits. A recovered acceptor is
-/// written down by a majority of the others, so the next incarnation, which asks a majority as
-/// well, learns of it and takes a higher generation.
+/// recorded by a majority of the others, so the next incarnation, which asks a majority as well,
+/// is refused there until it takes a higher generation.
 [[nodiscard]] Incarnation nextIncarnation(Incarnation previous, std::uint64_t randomBits);
+/// Whether a rejoining acceptor's incarnation may take the place of the one recorded of it. Of two
+/// of one generation neither knew of the other, so the random bits don't tell which is superseded:
+/// `candidate` may come from a delayed message of one that never recovered. Whoever is alive takes
+/// the next generation when it is refused. docs/register.md, "A late question", has the argument.
+[[nodiscard]] bool mayReplace(Incarnation recorded, Incarnation candidate);
 /// Whether the acceptor never lost its disk: then there is nothing to remember about it.
 [[nodiscard]] bool isFirstGeneration(Incarnation incarnation);
 
--- a/src/consensus/messages.hpp
+++ b/src/consensus/messages.hpp
@@ -56,8 +56,8 @@
   bool sameValue = false;
   std::uint64_t textId = 0;     ///< the text that the acceptor has; 0: none
   std::uint64_t historyId = 0;  ///< the history that the acceptor has; 0: none
-  /// rejoin: the newest incarnation of the requester that the acceptor knows. Not granted where
-  /// that is a newer one than the request names.
+  /// rejoin: the newest incarnation of the requester that the acceptor knows. Of a refusal it is
+  /// never below the one that the request names.
   Incarnation requesterIncarnation;
   /// What the acceptor knows of incarnations after the first. Replies of which one shows another to
   /// come from a superseded incarnation do not count together (crash-consistent quorum).
