--- a/src/control/acceptor_host.cpp
+++ b/src/control/acceptor_host.cpp
@@ -1,7 +1,5 @@
 #include "control/acceptor_host.hpp"
 
-#include <Poco/Logger.h>
-
 #include <stdexcept>
 #include <string>
 #include <utility>
@@ -9,6 +7,7 @@
 
 #include "consensus/acceptor_state_codec.hpp"
 #include "consensus/incarnation.hpp"
+#include "control/logger.hpp"
 
 namespace merlingauge::control {
 
@@ -17,10 +16,6 @@
 using consensus::RegisterRequest;
 using consensus::StalenessBound;
 
-namespace {
-Poco::Logger& logger() { return Poco::Logger::get("control"); }
-}  // namespace
-
 AcceptorHost::AcceptorHost(event::EventLoop& loop, storage::DurableStore& store,
                            StalenessBound& stalenessBound, config::ConfigTextCache& textCache,
                            const RegisterServiceOptions& options, std::mt19937_64& random)
--- a/src/control/acceptor_recovery.cpp
+++ b/src/control/acceptor_recovery.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "consensus/message_codec.hpp"
-#include "control/proposal_runner.hpp"
+#include "control/register_rpc.hpp"
 
 namespace merlingauge::control {
 
--- a/src/control/config_operations.cpp
+++ b/src/control/config_operations.cpp
@@ -1,12 +1,12 @@
 #include "control/config_operations.hpp"
 
-#include <Poco/Logger.h>
-
 #include <nlohmann/json.hpp>
 #include <utility>
 #include <variant>
 
 #include "control/control_requests.hpp"
+#include "control/json_response.hpp"
+#include "control/logger.hpp"
 
 namespace merlingauge::control {
 
@@ -19,11 +19,8 @@
 // The time of a proposal for a caller: below one second, so that the answer leaves before a caller
 // that waits for a second gives up.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(900);
-constexpr const char* kJsonType = "application/json";
 constexpr const char* kBaseRevisionHeader = "Base-Revision";
 
-Poco::Logger& logger() { return Poco::Logger::get("control"); }
-
 void respondToChange(const ServerExchange::Ptr& exchange, const json& document,
                      const Proposer::Result& result) {
   const auto& revision = document["revision"];
@@ -34,7 +31,7 @@
     return;
   }
   logger().information(name + " is committed");
-  exchange->respond(200, "OK", json{{"revision", revision}}.dump(), kJsonType);
+  respondWithJson(exchange, json{{"revision", revision}}.dump());
 }
 
 void respondToDescribe(const ServerExchange::Ptr& exchange, const Proposer::Result& result) {
@@ -43,7 +40,7 @@
   } else if (!result.value.config) {
     exchange->respondError(ErrorKind::noConfiguration);
   } else {
-    exchange->respond(200, "OK", result.value.config->text(), kJsonType);
+    respondWithJson(exchange, result.value.config->text());
   }
 }
 }  // namespace
@@ -78,9 +75,9 @@
 }
 
 void ConfigOperations::describe(const ServerExchange::Ptr& exchange) {
-  registerService_.propose(
-      [](const RegisterValue&, RegisterValue&) { return Proposer::Decision{}; }, kCallTimeout,
-      [exchange](const Proposer::Result& result) { respondToDescribe(exchange, result); });
+  registerService_.read(kCallTimeout, [exchange](const Proposer::Result& result) {
+    respondToDescribe(exchange, result);
+  });
 }
 
 }  // namespace merlingauge::control
--- a/src/control/control_api.cpp
+++ b/src/control/control_api.cpp
@@ -4,6 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <string_view>
 
+#include "control/json_response.hpp"
 #include "rpc/request_body.hpp"
 
 namespace merlingauge::control {
@@ -94,9 +95,7 @@
 
 void ControlApi::describeConfiguration(const Call& call) { configuration_.describe(call.exchange); }
 
-void ControlApi::status(const Call& call) {
-  call.exchange->respond(200, "OK", host_.status().dump(), "application/json");
-}
+void ControlApi::status(const Call& call) { respondWithJson(call.exchange, host_.status().dump()); }
 
 void ControlApi::readiness(const Call& call) {
   if (host_.isReady()) {
--- a/src/control/instance_operations.cpp
+++ b/src/control/instance_operations.cpp
@@ -1,10 +1,11 @@
 #include "control/instance_operations.hpp"
 
-#include <Poco/Logger.h>
-
 #include <nlohmann/json.hpp>
 #include <variant>
 
+#include "control/json_response.hpp"
+#include "control/logger.hpp"
+
 namespace merlingauge::control {
 
 using http::ServerExchange;
@@ -12,12 +13,6 @@
 using membership::InstanceRegistry;
 using nlohmann::json;
 
-namespace {
-constexpr const char* kJsonType = "application/json";
-
-Poco::Logger& logger() { return Poco::Logger::get("control"); }
-}  // namespace
-
 InstanceOperations::InstanceOperations(event::EventLoop& loop, ControlApiHost& host,
                                        InstanceRegistry& registry)
     : loop_(loop), host_(host), registry_(registry) {}
@@ -40,7 +35,7 @@
   }
   json response = json::object();
   if (!target.empty()) response["heartbeat_target"] = target;
-  exchange->respond(200, "OK", response.dump(), kJsonType);
+  respondWithJson(exchange, response.dump());
 }
 
 void InstanceOperations::recordHeartbeat(const Instance& instance) {
@@ -68,7 +63,7 @@
                                                    const InstanceId& id) {
   host_.whenReplicated(id, [exchange](bool replicated) {
     if (replicated) {
-      exchange->respond(200, "OK", "{}", kJsonType);
+      respondWithJson(exchange, "{}");
     } else {
       exchange->respondError(ErrorKind::noQuorum);
     }
--- a/src/control/proposal_runner.cpp
+++ b/src/control/proposal_runner.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "consensus/message_codec.hpp"
+#include "control/register_rpc.hpp"
 
 namespace merlingauge::control {
 
@@ -68,6 +69,11 @@
   sendRequests(proposal, proposal->proposer.start(loop_.now(), limit));
 }
 
+void ProposalRunner::read(Duration limit, ResultCallback onResult) {
+  const auto keepValue = [](const RegisterValue&, RegisterValue&) { return Proposer::Decision{}; };
+  propose(keepValue, limit, std::move(onResult));
+}
+
 void ProposalRunner::sendRequests(const ProposalPtr& proposal,
                                   const std::vector<Proposer::OutgoingRequest>& requests) {
   for (const auto& outgoing : requests) {
--- a/src/control/proposal_runner.hpp
+++ b/src/control/proposal_runner.hpp
@@ -20,9 +20,6 @@
 
 namespace merlingauge::control {
 
-/// The path of the register's requests on the internal port.
-constexpr const char* kRegisterRpcPath = "/register";
-
 /// Carries the requests of each proposer to the voters, its replies back, and wakes it when a round
 /// times out. A value that a proposal reads or writes is learned by the replica before the caller
 /// hears of it. Event-loop thread only; all references must outlive it.
@@ -36,10 +33,14 @@
                  config::ConfigTextCache& textCache, NodeId self, const ProposalTiming& timing,
                  std::mt19937_64& random);
 
-  /// Changes or reads the register. `onResult` is called exactly once, within `limit` or a timer
+  /// Changes the register. `onResult` is called exactly once, within `limit` or a timer
   /// turn of it; before this function returns where no voter is known.
   void propose(consensus::Proposer::ChangeFunction change, Duration limit, ResultCallback onResult);
 
+  /// Reads the register: a proposal that keeps the current value, and commits it where that was
+  /// open. `onResult` as above.
+  void read(Duration limit, ResultCallback onResult);
+
   /// Proposals that have no result yet.
   [[nodiscard]] int activeProposals() const { return activeProposals_; }
 
--- a/src/control/register_service.cpp
+++ b/src/control/register_service.cpp
@@ -1,20 +1,15 @@
 #include "control/register_service.hpp"
 
-#include <Poco/Logger.h>
-
 #include <algorithm>
 #include <utility>
 
 #include "consensus/value_codec.hpp"
+#include "control/logger.hpp"
 
 namespace merlingauge::control {
 
 using consensus::RegisterValue;
 
-namespace {
-Poco::Logger& logger() { return Poco::Logger::get("control"); }
-}  // namespace
-
 RegisterService::RegisterService(event::EventLoop& loop, rpc::PeerRpc& rpc,
                                  storage::DurableStore* store,
                                  consensus::StalenessBound& stalenessBound,
@@ -67,6 +62,10 @@
   runner_.propose(std::move(change), limit, std::move(onResult));
 }
 
+void RegisterService::read(Duration limit, ProposalRunner::ResultCallback onResult) {
+  runner_.read(limit, std::move(onResult));
+}
+
 void RegisterService::tick() {
   if (!acceptorHost_) return;
   if (!acceptorHost_->recovered()) {
--- a/src/control/register_service.hpp
+++ b/src/control/register_service.hpp
@@ -45,9 +45,11 @@
   /// Answers a peer's request; nothing where this node holds no acceptor or can't use its disk.
   void handleRequest(const consensus::RegisterRequest& request,
                      AcceptorHost::ReplyCallback onReply);
-  /// Changes or reads the register; see ProposalRunner.
+  /// Changes the register; see ProposalRunner.
   void propose(consensus::Proposer::ChangeFunction change, Duration limit,
                ProposalRunner::ResultCallback onResult);
+  /// A quorum read; see ProposalRunner.
+  void read(Duration limit, ProposalRunner::ResultCallback onResult);
   /// To be called often (each tenth of a second): recovery, repair, abandoned voter changes.
   void tick();
   /// See VoterSetManager::maintain.
--- a/src/control/value_repair.cpp
+++ b/src/control/value_repair.cpp
@@ -5,7 +5,6 @@
 namespace merlingauge::control {
 
 using consensus::Proposer;
-using consensus::RegisterValue;
 
 namespace {
 // The longest extra wait: a side without a quorum need not raise the ballots all the time, and
@@ -52,14 +51,12 @@
 
 void ValueRepair::startRead() {
   reading_ = true;
-  const auto keepValue = [](const RegisterValue&, RegisterValue&) { return Proposer::Decision{}; };
-  runner_.propose(keepValue, timing_.backgroundProposalTimeout(),
-                  [this](const Proposer::Result& result) {
-                    reading_ = false;
-                    aheadSince_ = loop_.now();
-                    if (!result.valueKnown)
-                      backoff_ = std::min(kMaxBackoff, backoff_ * 2 + kBackgroundProposalDelay);
-                  });
+  runner_.read(timing_.backgroundProposalTimeout(), [this](const Proposer::Result& result) {
+    reading_ = false;
+    aheadSince_ = loop_.now();
+    if (!result.valueKnown)
+      backoff_ = std::min(kMaxBackoff, backoff_ * 2 + kBackgroundProposalDelay);
+  });
 }
 
 }  // namespace merlingauge::control
--- a/src/control/voter_set_manager.cpp
+++ b/src/control/voter_set_manager.cpp
@@ -1,18 +1,16 @@
 #include "control/voter_set_manager.hpp"
 
-#include <Poco/Logger.h>
-
 #include <algorithm>
 #include <string>
 
+#include "control/logger.hpp"
+
 namespace merlingauge::control {
 
 using consensus::Proposer;
 using consensus::RegisterValue;
 
 namespace {
-Poco::Logger& logger() { return Poco::Logger::get("control"); }
-
 // Appends `label` and the name of each node that is in `nodes` and not in `others`.
 void appendMissing(std::string& text, const char* label, const std::vector<NodeId>& nodes,
                    const std::vector<NodeId>& others) {
--- a/src/node/peer_endpoint.cpp
+++ b/src/node/peer_endpoint.cpp
@@ -8,7 +8,7 @@
 #include "base/decode_error.hpp"
 #include "config/config_schema.hpp"
 #include "consensus/message_codec.hpp"
-#include "control/proposal_runner.hpp"
+#include "control/register_rpc.hpp"
 #include "gossip/wire_keys.hpp"
 #include "rpc/request_body.hpp"
 
--- a/tests/control/register_service_test.cpp
+++ b/tests/control/register_service_test.cpp
@@ -91,7 +91,26 @@
   }
 
   Proposer::Result read() {
-    return propose([](const RegisterValue&, RegisterValue&) { return Proposer::Decision{}; });
+    Proposer::Result outcome;
+    runUntil([&](const std::function<void()>& finish) {
+      service.read(kProposalLimit, [&outcome, finish](const Proposer::Result& result) {
+        outcome = result;
+        finish();
+      });
+    });
+    return outcome;
+  }
+
+  // Ticks the service until `done`.
+  void tickUntil(const std::function<bool()>& done) {
+    std::function<void()> tick;
+    runUntil([&](const std::function<void()>& finish) {
+      tick = [this, &tick, &done, finish] {
+        service.tick();
+        loop.after(kTickInterval, done() ? finish : tick);
+      };
+      tick();
+    });
   }
 
   std::optional<RegisterReply> request(const RegisterRequest& request) {
@@ -169,18 +188,29 @@
     node.write("one", 1);
   }
   TestNode node(directory.path(), false);
-  std::function<void()> tick;
-  node.runUntil([&node, &tick](const std::function<void()>& finish) {
-    tick = [&node, &tick, finish] {
-      node.service.tick();
-      node.loop.after(kTickInterval, node.observer.sequences.empty() ? tick : finish);
-    };
-    tick();
-  });
+  node.tickUntil([&node] { return !node.observer.sequences.empty(); });
   EXPECT_EQ(node.service.committedValue().revision(), Revision{1});
   EXPECT_EQ(node.observer.sequences, std::vector<std::uint64_t>{1});
 }
 
+TEST(RegisterService, AbandonedVoterChangeIsFinished) {
+  const TemporaryDirectory directory;
+  TestNode node(directory.path());
+  const auto firstValue = node.propose([](const RegisterValue& current, RegisterValue& next) {
+    next.epoch = current.epoch + 1;
+    next.previousVoters = current.voters;
+    Proposer::Decision decision;
+    decision.kind = Proposer::Decision::Kind::write;
+    return decision;
+  });
+  ASSERT_TRUE(firstValue.succeeded);
+  EXPECT_TRUE(node.service.hasPendingWork());
+  node.tickUntil([&node] { return !node.service.hasPendingWork(); });
+  EXPECT_EQ(node.service.committedValue().epoch, 2U);
+  EXPECT_EQ(node.service.committedValue().voters, std::vector<NodeId>{kSelf});
+  EXPECT_TRUE(node.service.committedValue().previousVoters.empty());
+}
+
 TEST(RegisterService, TextLargerThanTheDiskTakesIsNotAccepted) {
   const TemporaryDirectory directory;
   TestNode node(directory.path());
