--- a/src/control/config_operations.hpp
+++ b/src/control/config_operations.hpp
@@ -6,7 +6,7 @@
 
 #include "control/config_change.hpp"
 #include "control/register_service.hpp"
-#include "http/server_connection.hpp"
+#include "http/server_exchange.hpp"
 
 namespace merlingauge::control {
 
--- a/src/control/control_api.hpp
+++ b/src/control/control_api.hpp
@@ -9,7 +9,7 @@
 #include "control/instance_operations.hpp"
 #include "control/register_service.hpp"
 #include "event/event_loop.hpp"
-#include "http/server_connection.hpp"
+#include "http/server_exchange.hpp"
 #include "membership/instance_registry.hpp"
 
 namespace merlingauge::control {
--- a/src/control/instance_operations.hpp
+++ b/src/control/instance_operations.hpp
@@ -6,7 +6,7 @@
 #include "control/control_api_host.hpp"
 #include "control/control_requests.hpp"
 #include "event/event_loop.hpp"
-#include "http/server_connection.hpp"
+#include "http/server_exchange.hpp"
 #include "membership/instance_registry.hpp"
 
 namespace merlingauge::control {
--- a/src/http/client_exchange.cpp
+++ b/src/http/client_exchange.cpp
@@ -3,8 +3,12 @@
 #include <Poco/Net/HTTPMessage.h>
 #include <Poco/String.h>
 
-#include <algorithm>
 #include <charconv>
+#include <utility>
+
+#include "http/connection_pool.hpp"
+#include "http/message_head.hpp"
+#include "http/message_headers.hpp"
 
 namespace merlingauge::http {
 
@@ -13,281 +17,213 @@
 using Poco::Net::HTTPResponse;
 
 namespace {
-constexpr std::size_t kAnswerHeadLimit = 65536;
-constexpr Duration kKeepMargin = std::chrono::milliseconds(700);
+// What a node takes from a server or another node. Larger than a caller may send, since the heads
+// of answers carry the headers between nodes beside the server's own.
+constexpr std::size_t kMaxResponseHeadBytes = 65536;
 
-// `Keep-Alive: timeout=N`, or -1.
-int keepAliveSeconds(const HTTPResponse& response) {
+// The N of `Keep-Alive: timeout=N`.
+std::optional<Duration> announcedKeepAlive(const HTTPResponse& response) {
+  constexpr std::string_view kParameter = "timeout=";
   const std::string text = Poco::toLower(response.get("Keep-Alive", ""));
-  const auto at = text.find("timeout=");
-  if (at == std::string::npos) return -1;
+  const auto found = text.find(kParameter);
+  if (found == std::string::npos) return std::nullopt;
   int seconds = -1;
-  std::from_chars(text.data() + at + 8, text.data() + text.size(), seconds);
-  return seconds;
+  std::from_chars(text.data() + found + kParameter.size(), text.data() + text.size(), seconds);
+  if (seconds < 0) return std::nullopt;
+  return std::chrono::seconds(seconds);
 }
 }  // namespace
 
-ClientExchange::ClientExchange(ConnectionPool& pool, event::EventLoop& loop, std::string key)
-    : pool_(pool), loop_(loop), key_(std::move(key)) {}
+ClientExchange::ClientExchange(ConnectionPool& pool, event::EventLoop& loop, std::string poolKey)
+    : pool_(pool), loop_(loop), poolKey_(std::move(poolKey)) {}
 
 void ClientExchange::begin(TcpConnection::Ptr connection, const HTTPRequest& request,
-                           FramingKind kind, bool reused) {
+                           FramingKind framingKind, bool reused) {
   connection_ = std::move(connection);
   attemptId_ = request.get("Attempt-Id", "");
-  framingKind_ = kind;
-  isHeadRequest_ = request.getMethod() == "HEAD";
+  requestFramingKind_ = framingKind;
+  isHeadRequest_ = request.getMethod() == HTTPRequest::HTTP_HEAD;
   reused_ = reused;
   if (reused) connectionIdleTime_ = loop_.now() - connection_->idleSince;
-  sentAll_ = kind == FramingKind::none;
+  requestComplete_ = framingKind == FramingKind::none;
   maybeSent_ = connection_->isOpen();
+  setConnectionCallbacks();
+  connection_->write(serializeHead(request));
+}
+
+void ClientExchange::setConnectionCallbacks() {
   const std::weak_ptr<ClientExchange> weak = weak_from_this();
   connection_->onOpen = [weak] {
     if (const auto self = weak.lock()) self->maybeSent_ = true;
   };
   connection_->onData = [weak] {
-    if (const auto self = weak.lock()) self->data();
+    if (const auto self = weak.lock()) self->onData();
   };
   connection_->onFlushed = [weak] {
     const auto self = weak.lock();
     if (self && self->onFlushed) self->onFlushed();
   };
-  connection_->onEnd = [weak](TcpConnection::EndReason end) {
-    if (const auto self = weak.lock()) self->ended(end);
+  connection_->onEnd = [weak](TcpConnection::EndReason reason) {
+    if (const auto self = weak.lock()) self->onConnectionEnd(reason);
   };
-  ++connection_->exchangesServed;
-  connection_->write(serializeHead(request));
 }
 
 void ClientExchange::sendBody(std::string_view bytes) {
   if (over_ || !connection_) return;
   std::string wire;
-  appendBody(framingKind_, bytes, wire);
+  appendBody(requestFramingKind_, bytes, wire);
   connection_->write(wire);
 }
 
 void ClientExchange::endBody() {
-  if (over_ || sentAll_ || !connection_) return;
+  if (over_ || requestComplete_ || !connection_) return;
   std::string wire;
-  appendBodyEnd(framingKind_, wire);
+  appendBodyEnd(requestFramingKind_, wire);
   connection_->write(wire);
-  sentAll_ = true;
+  requestComplete_ = true;
 }
 
-void ClientExchange::pauseReading(bool on) {
-  if (!over_ && connection_) connection_->enableReading(!on);
+void ClientExchange::pauseReading(bool paused) {
+  if (!over_ && connection_) connection_->enableReading(!paused);
 }
 
-void ClientExchange::data() {
-  const auto hold = shared_from_this();
-  gotBytes_ = true;
-  while (!over_ && !gotHead_) {
-    std::size_t size = 0;
-    const auto state = findHead(connection_->input, kAnswerHeadLimit, size);
-    if (state == HeadParseResult::incomplete) return;
-    if (state != HeadParseResult::complete) {
-      fail(Failure::invalidResponse);
-      return;
-    }
-    HTTPResponse response;
-    const std::string_view head(connection_->input.data(), size);
-    const auto plan = isStrictHead(head, false) ? parseResponseHead(head, isHeadRequest_, response)
-                                                : std::nullopt;
-    if (!plan) {
-      fail(Failure::invalidResponse);
-      return;
-    }
-    connection_->input.erase(0, size);
-    if (response.getStatus() < 200) {
-      if (response.getStatus() == 101) {
-        fail(Failure::invalidResponse);
-        return;
-      }
-      if (onInterimResponse) onInterimResponse();
-      continue;
-    }
-    // Surplus or late bytes of another exchange: nothing on this connection can be trusted now.
-    if (!attemptId_.empty() && response.get("Attempt-Id", "") != attemptId_) {
-      fail(Failure::invalidResponse);
-      return;
-    }
-    gotHead_ = true;
-    keepAlive_ = !wantsClose(response) && plan->kind != FramingKind::untilClose;
-    keepAliveSeconds_ = keepAliveSeconds(response);
-    reader_ = BodyReader(*plan);
-    if (onResponseHead) onResponseHead(response, *plan);
+void ClientExchange::onData() {
+  const auto self = shared_from_this();  // a callback may let go of the exchange
+  receivedBytes_ = true;
+  while (!over_ && !receivedHead_) {
+    if (!readHead()) return;
+  }
+  if (!over_) readBody();
+}
+
+bool ClientExchange::readHead() {
+  const auto found = findHead(connection_->input, kMaxResponseHeadBytes);
+  if (found.result == HeadParseResult::incomplete) return false;
+  if (found.result != HeadParseResult::complete) {
+    fail(Failure::invalidResponse);
+    return false;
+  }
+  HTTPResponse response;
+  const auto framing = parseHead(std::string_view(connection_->input.data(), found.size), response);
+  if (!framing) {
+    fail(Failure::invalidResponse);
+    return false;
+  }
+  connection_->input.erase(0, found.size);
+  if (response.getStatus() >= HTTPResponse::HTTP_OK) {
+    beginResponse(response, *framing);
+  } else if (onInterimResponse) {
+    onInterimResponse();
   }
-  if (over_ || !gotHead_) return;
-  const auto state = reader_.consume(connection_->input, unparsed_);
-  if (!unparsed_.empty() && onBody) onBody(unparsed_);
+  return true;
+}
+
+std::optional<BodyFraming> ClientExchange::parseHead(std::string_view head,
+                                                     HTTPResponse& response) const {
+  const auto framing = parseResponseHead(head, isHeadRequest_, response);
+  if (!framing) return std::nullopt;
+  const int status = response.getStatus();
+  // No request of ours asks for another protocol.
+  if (status == HTTPResponse::HTTP_SWITCHING_PROTOCOLS) return std::nullopt;
+  const bool isFinal = status >= HTTPResponse::HTTP_OK;
+  // An answer reaches exactly its caller: without our Attempt-Id these are surplus or late bytes of
+  // another exchange, and nothing on this connection can be trusted.
+  if (isFinal && !attemptId_.empty() && response.get("Attempt-Id", "") != attemptId_) {
+    return std::nullopt;
+  }
+  return framing;
+}
+
+void ClientExchange::beginResponse(HTTPResponse& response, const BodyFraming& framing) {
+  receivedHead_ = true;
+  serverKeepsAlive_ = !wantsClose(response) && framing.kind != FramingKind::untilClose;
+  keepAliveTimeout_ = announcedKeepAlive(response);
+  responseReader_ = BodyReader(framing);
+  if (onResponseHead) onResponseHead(response, framing);
+}
+
+void ClientExchange::readBody() {
+  const auto state = responseReader_.consume(connection_->input, undeliveredBody_);
+  if (!undeliveredBody_.empty() && onBody) onBody(undeliveredBody_);
   if (over_) return;
   if (state == BodyReader::State::malformed) {
     fail(Failure::truncated);
   } else if (state == BodyReader::State::done) {
-    done();
+    complete();
   }
 }
 
-void ClientExchange::ended(TcpConnection::EndReason end) {
+void ClientExchange::onConnectionEnd(TcpConnection::EndReason reason) {
   if (over_) return;
-  const auto hold = shared_from_this();
-  if (end == TcpConnection::EndReason::connectFailed) {
+  const auto self = shared_from_this();
+  // Whatever the failure says, the request is not sent again here: only its owner knows whether it
+  // may be offered to a second server.
+  if (reason == TcpConnection::EndReason::connectFailed) {
     fail(maybeSent_ ? Failure::noResponse : Failure::notSent);
-  } else if (!gotHead_) {
-    // An interim answer and then the end is no sign of a connection out of step.
-    const bool unread = reused_ && !gotBytes_;
-    fail(unread                        ? Failure::staleConnection
-         : !connection_->input.empty() ? Failure::invalidResponse
-                                       : Failure::noResponse);
-  } else if (reader_.endsByClose() && end == TcpConnection::EndReason::closed) {
-    keepAlive_ = false;
-    done();
+  } else if (receivedHead_) {
+    const bool orderly = reason == TcpConnection::EndReason::closed;
+    if (orderly && responseReader_.endsByClose()) {
+      serverKeepsAlive_ = false;
+      complete();
+    } else {
+      fail(Failure::truncated);
+    }
+  } else if (reused_ && !receivedBytes_) {
+    // An interim answer and then the end is no sign of a stale connection.
+    fail(Failure::staleConnection);
   } else {
-    fail(Failure::truncated);
+    fail(connection_->input.empty() ? Failure::noResponse : Failure::invalidResponse);
   }
 }
 
-void ClientExchange::done() {
+// Bytes after a complete answer belong to no request. What of a request is still on its way out
+// when its answer is complete spoils the connection too: whoever answered early may not read the
+// rest as what it is.
+bool ClientExchange::isConnectionInStep() const {
+  return serverKeepsAlive_ && requestComplete_ && connection_->unsentBytes() == 0 &&
+         connection_->input.empty() && !connection_->isClosed();
+}
+
+void ClientExchange::complete() {
   over_ = true;
-  // Bytes after a whole answer belong to no request. What of a request is still on its way out when
-  // its answer is whole spoils the connection too: whoever answered early may not read the rest as
-  // what it is.
-  if (keepAlive_ && sentAll_ && connection_->unsentBytes() == 0 && connection_->input.empty() &&
-      !connection_->isClosed()) {
+  // An answer reaches exactly its caller: a connection out of step serves nobody else.
+  if (isConnectionInStep()) {
     connection_->onOpen = nullptr;
     connection_->onFlushed = nullptr;
-    pool_.put(key_, connection_, keepAliveSeconds_);
+    pool_.giveBack(poolKey_, connection_, keepAliveTimeout_);
   } else {
     connection_->close();
   }
-  const auto tell = onComplete;
+  const auto callback = onComplete;
   release();
-  if (tell) tell();
+  if (callback) callback();
 }
 
 void ClientExchange::fail(Failure failure) {
   if (over_) return;
   over_ = true;
   connection_->close();
-  const auto tell = onFailure;
+  const auto callback = onFailure;
   release();
-  if (tell) tell(failure);
+  if (callback) callback(failure);
 }
 
 void ClientExchange::cancel() {
   if (over_) return;
   over_ = true;
+  // An answer that is still owed would reach the next exchange on this connection.
   connection_->close();
   release();
 }
 
-// Callbacks often hold the call's owner: let them go, but not while one of them runs.
+// Callbacks often hold the owner of the exchange: they are let go, but not while one of them runs.
 void ClientExchange::release() {
-  loop_.defer([self = shared_from_this(), a = std::move(onResponseHead), b = std::move(onBody),
-               c = std::move(onComplete), d = std::move(onFailure), e = std::move(onFlushed),
-               f = std::move(onInterimResponse)] {});
-  onInterimResponse = nullptr;
-  onResponseHead = nullptr;
-  onBody = nullptr;
-  onComplete = nullptr;
-  onFailure = nullptr;
-  onFlushed = nullptr;
+  loop_.defer(
+      [self = shared_from_this(), head = std::exchange(onResponseHead, nullptr),
+       body = std::exchange(onBody, nullptr), interim = std::exchange(onInterimResponse, nullptr),
+       complete = std::exchange(onComplete, nullptr), failure = std::exchange(onFailure, nullptr),
+       flushed = std::exchange(onFlushed, nullptr)] {});
   connection_ = nullptr;
 }
 
-// ---- Ropes
-
-ClientExchange::Ptr ConnectionPool::startExchange(const Poco::Net::SocketAddress& to,
-                                                  const HTTPRequest& request, FramingKind kind,
-                                                  Duration freshness,
-                                                  const std::string& incarnation) {
-  std::string key = to.toString();
-  if (!incarnation.empty()) key.append("|").append(incarnation);
-  ClientExchange::Ptr call(new ClientExchange(*this, loop_, key));
-  auto connection = take(key, freshness);
-  const bool reused = connection != nullptr;
-  if (!reused) {
-    connection = TcpConnection::connect(loop_, to, options_.connectTimeout, options_.userTimeoutMs);
-    ++connectionsOpened_;
-  }
-  call->begin(connection, request, kind, reused);
-  return call;
-}
-
-TcpConnection::Ptr ConnectionPool::take(const std::string& key, Duration freshness) {
-  const auto it = idle_.find(key);
-  if (it == idle_.end()) return nullptr;
-  auto& list = it->second;
-  while (!list.empty()) {
-    const IdleConnection last = list.back();
-    const TimePoint now = loop_.now();
-    if (last.connection->isClosed() || last.expiresAt <= now) {
-      list.pop_back();
-      last.connection->close();
-      continue;
-    }
-    // The newest is the freshest: if it is too old for this call, so are the others. The oldest
-    // makes room for the new one, so that their number doesn't grow.
-    if (now - last.connection->idleSince > freshness) {
-      list.front().connection->close();
-      list.erase(list.begin());
-      return nullptr;
-    }
-    list.pop_back();
-    if (last.connection->isQuiet()) return last.connection;
-    last.connection->close();
-  }
-  return nullptr;
-}
-
-void ConnectionPool::put(const std::string& key, const TcpConnection::Ptr& connection,
-                         int keepSeconds) {
-  auto& list = idle_[key];
-  const TimePoint now = loop_.now();
-  connection->idleSince = now;
-  Duration keep = options_.idleTimeout;
-  if (keepSeconds >= 0) keep = std::min(keep, fromSeconds(keepSeconds) - kKeepMargin);
-  if (keep <= Duration(0)) {
-    connection->close();
-    return;
-  }
-  if (list.size() >= options_.maxIdlePerAddress) {
-    list.front().connection->close();
-    list.erase(list.begin());
-  }
-  // Anything that comes on an idle connection, its end or stray bytes, spoils it.
-  const std::weak_ptr<TcpConnection> weak = connection;
-  connection->enableReading(true);
-  loop_.defer([old = std::move(connection->onData), oldEnd = std::move(connection->onEnd)] {});
-  connection->onData = [weak] {
-    if (const auto r = weak.lock()) r->close();
-  };
-  connection->onEnd = [](TcpConnection::EndReason) {};
-  list.push_back({connection, now + keep});
-  if (!sweeping_) {
-    sweeping_ = true;
-    scheduleSweep();
-  }
-}
-
-void ConnectionPool::scheduleSweep() {
-  loop_.after(std::chrono::seconds(2), [this, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired()) sweep();
-  });
-}
-
-void ConnectionPool::sweep() {
-  const TimePoint now = loop_.now();
-  for (auto it = idle_.begin(); it != idle_.end();) {
-    auto& list = it->second;
-    std::erase_if(list, [&](const IdleConnection& kept) {
-      if (!kept.connection->isClosed() && kept.expiresAt > now) return false;
-      kept.connection->close();
-      return true;
-    });
-    it = list.empty() ? idle_.erase(it) : std::next(it);
-  }
-  sweeping_ = !idle_.empty();
-  if (sweeping_) scheduleSweep();
-}
-
 }  // namespace merlingauge::http
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -1,146 +1,30 @@
 #include "http/server_connection.hpp"
 
-#include <Poco/Exception.h>
-#include <Poco/Net/PollSet.h>
+#include <Poco/Net/HTTPMessage.h>
 
-#include <array>
-#include <cstdio>
+#include <utility>
+
+#include "http/message_head.hpp"
+#include "http/message_headers.hpp"
 
 namespace merlingauge::http {
 
 using Poco::Net::HTTPMessage;
-using Poco::Net::HTTPResponse;
 
 namespace {
-constexpr std::size_t kBodyHold = 256 * 1024;
-constexpr int kBacklog = 512;
-constexpr std::size_t kAhead = 8;  // so many requests of one connection may run at once
+// Reading stops while so much of a connection is buffered: enough for a round trip at the speed of
+// a local network, little beside the memory of a node with its largest number of connections.
+constexpr std::size_t kMaxBufferedBytes = 256 * 1024;
+// So many requests of one connection may run at once, so that one caller can't take every slot.
+constexpr std::size_t kMaxPipelinedExchanges = 8;
 }  // namespace
 
-// ---- Visit
-
-std::size_t ServerExchange::unsentBytes() const {
-  const auto connection = connection_.lock();
-  if (!connection) return 0;
-  return connection->isFront(this) ? connection->connection_->unsentBytes() : heldOutput_.size();
-}
-
-void ServerExchange::write(std::string_view bytes) {
-  const auto connection = connection_.lock();
-  if (!connection) return;
-  if (connection->isFront(this)) {
-    connection->connection_->write(bytes);
-  } else {
-    heldOutput_.append(bytes);
-  }
-}
-
-void ServerExchange::sendHead(HTTPResponse& response, const BodyFraming& answerPlan) {
-  const auto connection = connection_.lock();
-  if (!connection || over_ || headSent_) return;
-  headSent_ = true;
-  responseFraming_ = answerPlan;
-  isHeadRequest_ = request.getMethod() == "HEAD";
-  // While stopping, the last answer that is owed says so.
-  const bool last = connection->exchanges_.empty() || connection->exchanges_.back().get() == this;
-  if ((connection->listener_->draining && last) || wantsClose(request) ||
-      answerPlan.kind == FramingKind::untilClose || !bodyComplete) {
-    closeAfterResponse_ = true;
-  }
-  if (answerPlan.kind == FramingKind::chunked && request.getVersion() == HTTPMessage::HTTP_1_0) {
-    responseFraming_.kind = FramingKind::untilClose;
-    closeAfterResponse_ = true;
-  }
-  response.setVersion(HTTPMessage::HTTP_1_1);
-  const int status = response.getStatus();
-  if (status != 204 && status != 304 &&
-      !(isHeadRequest_ && responseFraming_.kind == FramingKind::none)) {
-    setFramingHeaders(responseFraming_, response);
-  }
-  if (closeAfterResponse_) response.set(HTTPMessage::CONNECTION, "close");
-  write(serializeHead(response));
-}
-
-void ServerExchange::sendBody(std::string_view bytes) {
-  const auto connection = connection_.lock();
-  if (!connection || over_ || isHeadRequest_) return;
-  std::string wire;
-  appendBody(responseFraming_.kind, bytes, wire);
-  write(wire);
-}
-
-void ServerExchange::endResponse() {
-  const auto connection = connection_.lock();
-  if (!connection || over_) return;
-  over_ = true;
-  std::string wire;
-  if (!isHeadRequest_) appendBodyEnd(responseFraming_.kind, wire);
-  write(wire);
-  if (connection->isFront(this)) connection->exchangeOver();
-}
-
-void ServerExchange::abortResponse() {
-  const auto connection = connection_.lock();
-  if (!connection || over_) return;
-  over_ = true;
-  aborted_ = true;
-  if (connection->isFront(this)) connection->exchangeOver();
-}
-
-void ServerExchange::respond(int status, const std::string& reason, std::string_view text,
-                             const std::string& type, const ExtraHeaders& extra) {
-  HTTPResponse response(HTTPMessage::HTTP_1_1, static_cast<HTTPResponse::HTTPStatus>(status),
-                        reason);
-  if (!type.empty()) response.set(HTTPMessage::CONTENT_TYPE, type);
-  if (const auto id = request.get("Attempt-Id", ""); !id.empty()) response.set("Attempt-Id", id);
-  for (const auto& [name, value] : extra) response.set(name, value);
-  BodyFraming whole{text.empty() ? FramingKind::none : FramingKind::contentLength, text.size()};
-  sendHead(response, whole);
-  if (!text.empty()) sendBody(text);
-  endResponse();
-}
-
-void ServerExchange::respondError(ErrorKind kind, const std::string& detail,
-                                  const ExtraHeaders& extra) {
-  const auto& row = responseFor(kind);
-  ExtraHeaders headers = extra;
-  bool told = false;
-  for (const auto& header : extra) told = told || header.first == "Retry-After";
-  if (row.retryAfterMs > 0 && !told) {
-    std::array<char, 32> text{};
-    std::snprintf(text.data(), text.size(), "%.3f", row.retryAfterMs / 1000.0);
-    headers.emplace_back("Retry-After", text.data());
-  }
-  if (row.closesConnection) closeAfterResponse_ = true;
-  std::string text = row.message;
-  if (!detail.empty()) text += ": " + detail;
-  respond(row.status, row.reason, text + "\n", "text/plain", headers);
-}
-
-void ServerExchange::sendProcessing() {
-  const auto connection = connection_.lock();
-  if (connection && !over_ && !headSent_) write("HTTP/1.1 102 Processing\r\n\r\n");
-}
-
-bool ServerExchange::clientHasClosed() const {
-  const auto connection = connection_.lock();
-  return !connection || over_ || connection->connection_->closedByPeer();
-}
-
-void ServerExchange::bodyConsumed(std::size_t held) {
-  const auto connection = connection_.lock();
-  if (!connection || over_) return;
-  connection->connection_->enableReading(held + receivedBody.size() < kBodyHold);
-}
-
-// ---- Guest
-
 ServerConnection::ServerConnection(event::EventLoop& loop, TcpConnection::Ptr connection,
-                                   std::shared_ptr<ListenerContext> reception)
-    : loop_(loop), connection_(std::move(connection)), listener_(std::move(reception)) {}
+                                   std::shared_ptr<ListenerContext> context)
+    : loop_(loop), connection_(std::move(connection)), context_(std::move(context)), timer_(loop) {}
 
-void ServerConnection::start(std::function<void()> onGone) {
-  onClosed_ = std::move(onGone);
+void ServerConnection::start(std::function<void()> onClosed) {
+  onClosed_ = std::move(onClosed);
   connection_->onData = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->advance();
   };
@@ -151,34 +35,36 @@
     }
   };
   connection_->onEnd = [weak = weak_from_this()](TcpConnection::EndReason) {
-    if (const auto self = weak.lock()) self->ended();
+    if (const auto self = weak.lock()) self->close();
   };
-  armTimer(listener_->limits.headerTimeout, true);
+  expectHead();
 }
 
-void ServerConnection::armTimer(Duration wait, bool inHead) {
-  loop_.cancel(timer_);
-  inHead_ = inHead;
-  timer_ = loop_.after(wait, [weak = weak_from_this()] {
-    const auto self = weak.lock();
-    if (!self) return;
-    self->timer_ = 0;
-    if (!self->exchanges_.empty()) return;
-    if (self->connection_->input.empty()) {
-      self->close();
-    } else {
-      self->reject(ErrorKind::headerTimeout);
-    }
+void ServerConnection::expectHead() {
+  expectingHead_ = true;
+  startTimer(context_->limits.headerTimeout);
+}
+
+void ServerConnection::startTimer(Duration wait) {
+  timer_.start(wait, [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) self->onTimeout();
   });
 }
 
-void ServerConnection::close() { ended(); }
+void ServerConnection::onTimeout() {
+  if (!exchanges_.empty()) return;
+  if (connection_->input.empty()) {
+    close();
+  } else {
+    reject(ErrorKind::headerTimeout);
+  }
+}
 
-void ServerConnection::ended() {
+void ServerConnection::close() {
   if (over_) return;
   over_ = true;
-  const auto hold = shared_from_this();
-  loop_.cancel(timer_);
+  const auto self = shared_from_this();  // the listener lets go of it in onClosed_
+  timer_.cancel();
   connection_->close();
   abandonExchanges();
   if (onClosed_) onClosed_();
@@ -186,29 +72,27 @@
 
 // Nobody waits for their answers any more: whatever runs of them ends.
 void ServerConnection::abandonExchanges() {
-  const auto visits = std::move(exchanges_);
-  exchanges_.clear();
-  for (const auto& exchange : visits) {
-    --listener_->activeExchanges;
-    const bool early = !exchange->over_;
+  const auto abandoned = std::exchange(exchanges_, {});
+  for (const auto& exchange : abandoned) {
+    const bool wasRunning = !exchange->over_;
     exchange->over_ = true;
-    if (early && exchange->onClientGone) exchange->onClientGone();
+    if (wasRunning && exchange->onClientGone) exchange->onClientGone();
   }
 }
 
 void ServerConnection::advance() {
   if (advancing_ || over_) return;
-  const auto hold = shared_from_this();
+  const auto self = shared_from_this();
   advancing_ = true;
   while (!over_) {
     if (!exchanges_.empty() && !exchanges_.back()->bodyComplete) {
-      feedBody();
+      continueBody();
       if (exchanges_.empty() || !exchanges_.back()->bodyComplete) break;
       continue;
     }
-    if (!mayReadOn()) {
-      if (connection_->input.size() > kBodyHold)
-        connection_->enableReading(false);  // they wait their turn
+    if (!mayBeginNext()) {
+      // What has come waits its turn, unread beyond the limit.
+      if (connection_->input.size() > kMaxBufferedBytes) connection_->enableReading(false);
       break;
     }
     if (connection_->input.empty() || !beginExchange()) break;
@@ -216,208 +100,194 @@
   advancing_ = false;
 }
 
-bool ServerConnection::isFront(const ServerExchange* exchange) const {
-  return !exchanges_.empty() && exchanges_.front().get() == exchange;
+bool ServerConnection::isFront(const ServerExchange& exchange) const {
+  return !exchanges_.empty() && exchanges_.front().get() == &exchange;
 }
 
-// Behind an answer that closes, or one that has to wait for its turn, nothing is read.
-bool ServerConnection::mayReadOn() const {
+bool ServerConnection::isLast(const ServerExchange& exchange) const {
+  return exchanges_.empty() || exchanges_.back().get() == &exchange;
+}
+
+void ServerConnection::limitReading(std::size_t bufferedBytes) {
+  connection_->enableReading(bufferedBytes < kMaxBufferedBytes);
+}
+
+// Behind an answer that closes, or a request that has to wait for its turn, nothing is read.
+bool ServerConnection::mayBeginNext() const {
   if (exchanges_.empty()) return true;
-  if (!listener_->mayPipeline || listener_->draining || exchanges_.size() >= kAhead) return false;
+  if (!context_->mayPipeline || context_->draining) return false;
+  if (exchanges_.size() >= kMaxPipelinedExchanges) return false;
   const auto& last = *exchanges_.back();
-  if (last.closeAfterResponse_ || !last.started_ || wantsClose(last.request)) return false;
-  std::size_t held = connection_->unsentBytes();
-  for (const auto& exchange : exchanges_) held += exchange->heldOutput_.size();
-  return held < kBodyHold;
+  if (last.closeAfterResponse_ || !last.dispatched_ || wantsClose(last.request)) return false;
+  std::size_t unsent = connection_->unsentBytes();
+  for (const auto& exchange : exchanges_) unsent += exchange->heldOutput_.size();
+  return unsent < kMaxBufferedBytes;
 }
 
 bool ServerConnection::beginExchange() {
-  const auto& limits = listener_->limits;
-  std::size_t size = 0;
+  const auto headSize = findCompleteHead();
+  if (!headSize) return false;
+  const auto exchange = parseExchange(*headSize);
+  if (!exchange) return false;
+  enqueue(exchange);
+  const auto progress = readBody(*exchange);
+  exchange->bodyComplete = progress.complete;
+  if (progress.error) {
+    reject(*progress.error);
+    return false;
+  }
+  // A request that may not be repeated is offered to at most one server: behind others it waits,
+  // since an answer that closes drops it unread, and its caller may then send it again.
+  if (isFront(*exchange) || context_->mayPipeline(*exchange)) dispatch(exchange);
+  return true;
+}
+
+std::optional<std::size_t> ServerConnection::findCompleteHead() {
+  auto& input = connection_->input;
   // Blank lines ahead of a request are allowed by the protocol.
-  while (connection_->input.compare(0, 2, "\r\n") == 0) connection_->input.erase(0, 2);
-  if (connection_->input.empty()) return false;
-  switch (findHead(connection_->input, limits.maxHeadBytes, size)) {
+  while (input.compare(0, 2, "\r\n") == 0) input.erase(0, 2);
+  if (input.empty()) return std::nullopt;
+  const auto found = findHead(input, context_->limits.maxHeadBytes);
+  switch (found.result) {
     case HeadParseResult::incomplete:
-      if (!inHead_ && exchanges_.empty()) armTimer(limits.headerTimeout, true);
-      return false;
+      if (!expectingHead_ && exchanges_.empty()) expectHead();
+      return std::nullopt;
     case HeadParseResult::tooLarge:
       reject(ErrorKind::headersTooLarge);
-      return false;
+      return std::nullopt;
     case HeadParseResult::malformed:
       reject(ErrorKind::malformedRequest);
-      return false;
+      return std::nullopt;
     case HeadParseResult::complete:
-      break;
+      return found.size;
   }
+  return std::nullopt;
+}
+
+ServerExchange::Ptr ServerConnection::parseExchange(std::size_t headSize) {
+  const std::string_view head(connection_->input.data(), headSize);
   auto exchange = std::make_shared<ServerExchange>();
-  const std::string_view head(connection_->input.data(), size);
-  const auto plan =
-      isStrictHead(head, true) ? parseRequestHead(head, exchange->request) : std::nullopt;
-  if (!plan) {
+  const auto framing = parseRequestHead(head, exchange->request);
+  if (!framing) {
     reject(ErrorKind::malformedRequest);
-    return false;
+    return nullptr;
   }
-  connection_->input.erase(0, size);
-  if (plan->kind == FramingKind::contentLength && plan->length > limits.maxBodyBytes) {
+  connection_->input.erase(0, headSize);
+  if (framing->kind == FramingKind::contentLength &&
+      framing->length > context_->limits.maxBodyBytes) {
     reject(ErrorKind::bodyTooLarge);
-    return false;
+    return nullptr;
   }
-  loop_.cancel(timer_);
-  timer_ = 0;
-  exchange->requestFraming = *plan;
+  exchange->requestFraming = *framing;
+  return exchange;
+}
+
+void ServerConnection::enqueue(const ServerExchange::Ptr& exchange) {
+  timer_.cancel();
   exchange->startedAt = loop_.now();
   exchange->connection_ = weak_from_this();
-  reader_ = BodyReader(*plan);
-  bodyBytesSeen_ = 0;
+  bodyReader_ = BodyReader(exchange->requestFraming);
+  bodyBytesRead_ = 0;
   exchanges_.push_back(exchange);
-  ++listener_->activeExchanges;
-  ++connection_->exchangesServed;
-  if (plan->kind != FramingKind::none && exchange->request.getExpectContinue()) {
+  const bool hasBody = exchange->requestFraming.kind != FramingKind::none;
+  if (hasBody && exchange->request.getExpectContinue()) {
     connection_->write("HTTP/1.1 100 Continue\r\n\r\n");
   }
-  const auto before = exchange->receivedBody.size();
-  const auto state = reader_.consume(connection_->input, exchange->receivedBody);
-  bodyBytesSeen_ += exchange->receivedBody.size() - before;
-  exchange->bodyComplete = state == BodyReader::State::done;
-  if (state == BodyReader::State::malformed || bodyBytesSeen_ > limits.maxBodyBytes) {
-    reject(state == BodyReader::State::malformed ? ErrorKind::malformedRequest
-                                                 : ErrorKind::bodyTooLarge);
-    return false;
-  }
-  if (isFront(exchange.get()) || listener_->mayPipeline(*exchange)) begun(exchange);
-  return true;
 }
 
-void ServerConnection::begun(const ServerExchange::Ptr& exchange) {
-  exchange->started_ = true;
-  listener_->onExchange(exchange);
+void ServerConnection::dispatch(const ServerExchange::Ptr& exchange) {
+  exchange->dispatched_ = true;
+  context_->onExchange(exchange);
+}
+
+ServerConnection::BodyProgress ServerConnection::readBody(ServerExchange& exchange) {
+  const auto before = exchange.receivedBody.size();
+  const auto state = bodyReader_.consume(connection_->input, exchange.receivedBody);
+  bodyBytesRead_ += exchange.receivedBody.size() - before;
+  BodyProgress progress;
+  progress.complete = state == BodyReader::State::done;
+  if (state == BodyReader::State::malformed) {
+    progress.error = ErrorKind::malformedRequest;
+  } else if (bodyBytesRead_ > context_->limits.maxBodyBytes) {
+    progress.error = ErrorKind::bodyTooLarge;
+  }
+  return progress;
 }
 
-void ServerConnection::feedBody() {
+void ServerConnection::continueBody() {
   const auto exchange = exchanges_.back();
-  const auto before = exchange->receivedBody.size();
-  const auto state = reader_.consume(connection_->input, exchange->receivedBody);
-  bodyBytesSeen_ += exchange->receivedBody.size() - before;
-  if (state == BodyReader::State::malformed || bodyBytesSeen_ > listener_->limits.maxBodyBytes) {
-    // The request can't be whole any more; whoever has the front of it must drop it.
-    if (exchange->headSent()) {
-      ended();
-      return;
-    }
-    const auto gone = exchange->onClientGone;
-    reject(state == BodyReader::State::malformed ? ErrorKind::malformedRequest
-                                                 : ErrorKind::bodyTooLarge);
-    if (gone) gone();
+  const auto progress = readBody(*exchange);
+  if (!progress.error) {
+    exchange->bodyComplete = progress.complete;
+    if (exchange->onBody) exchange->onBody();
+    return;
+  }
+  // The request can't be complete any more; whoever has the front of it must drop it.
+  if (exchange->headSent()) {
+    close();
     return;
   }
-  exchange->bodyComplete = state == BodyReader::State::done;
-  if (exchange->onBody) exchange->onBody();
+  const auto onClientGone = exchange->onClientGone;
+  reject(*progress.error);
+  if (onClientGone) onClientGone();
 }
 
 void ServerConnection::reject(ErrorKind kind) {
-  if (listener_->onRejected) listener_->onRejected(kind);
+  if (context_->onRejected) context_->onRejected(kind);
   auto exchange = exchanges_.empty() ? nullptr : exchanges_.back();
-  if (!exchange || (exchange->started_ && exchange->bodyComplete)) {
+  if (!exchange || (exchange->dispatched_ && exchange->bodyComplete)) {
     exchange = std::make_shared<ServerExchange>();
     exchange->connection_ = weak_from_this();
     exchange->request.setVersion(HTTPMessage::HTTP_1_1);
     exchanges_.push_back(exchange);
-    ++listener_->activeExchanges;
   }
   exchange->closeAfterResponse_ = true;
   exchange->respondError(kind);
 }
 
-// The answer whose turn it was is whole: on to those that wait behind it.
-void ServerConnection::exchangeOver() {
-  const auto hold = shared_from_this();
+void ServerConnection::onFrontFinished() {
+  const auto self = shared_from_this();
   while (!over_ && !exchanges_.empty() && exchanges_.front()->over_) {
     const auto exchange = exchanges_.front();
-    connection_->write(exchange->heldOutput_);
-    exchange->heldOutput_.clear();
+    connection_->write(std::exchange(exchange->heldOutput_, {}));
+    // An answer that runs to the close would look complete after an orderly end: reset it instead.
     if (exchange->aborted_) {
-      // An answer that runs to the close would look whole after an orderly end: reset it instead.
-      ended();
+      close();
       return;
     }
     exchanges_.pop_front();
-    --listener_->activeExchanges;
-    loop_.defer([exchange] {});
+    loop_.defer([exchange] {});  // a callback of it may be running
     if (exchange->closeAfterResponse_) {
-      loop_.cancel(timer_);
-      over_ = true;
-      connection_->closeAfterFlush();
-      abandonExchanges();  // what was sent behind it counts as unread
-      if (onClosed_) onClosed_();
+      closeAfterAnswer();
       return;
     }
-    if (exchanges_.empty()) continue;
-    const auto next = exchanges_.front();
-    connection_->write(next->heldOutput_);
-    next->heldOutput_.clear();
-    if (!next->started_ && !next->over_) begun(next);
-    if (!next->over_ && next->onFlushed) next->onFlushed();
+    if (!exchanges_.empty()) beginNextAnswer();
   }
   if (over_) return;
   connection_->enableReading(true);
-  if (exchanges_.empty()) armTimer(listener_->limits.idleTimeout, false);
-  if (!connection_->input.empty()) {
-    loop_.defer([weak = weak_from_this()] {
-      if (const auto self = weak.lock()) self->advance();
-    });
+  if (exchanges_.empty()) {
+    expectingHead_ = false;
+    startTimer(context_->limits.idleTimeout);
   }
+  if (connection_->input.empty()) return;
+  loop_.defer([weak = weak_from_this()] {
+    if (const auto connection = weak.lock()) connection->advance();
+  });
 }
 
-// ---- Door
-
-HttpListener::HttpListener(event::EventLoop& loop, const Poco::Net::SocketAddress& at,
-                           std::size_t maxGuests)
-    : loop_(loop), maxConnections_(maxGuests) {
-  socket_.bind(at, true, false);
-  socket_.listen(kBacklog);
-  socket_.setBlocking(false);
-  loop_.watch(socket_, Poco::Net::PollSet::POLL_READ, [this](int) { acceptConnections(); });
-}
-
-HttpListener::~HttpListener() {
-  *alive_ = false;
-  stopAccepting();
-  for (auto& [key, guest] : connections_) guest->close();
-}
-
-void HttpListener::stopAccepting() {
-  if (!accepting_) return;
-  accepting_ = false;
-  loop_.forget(socket_);
-  socket_.close();
-}
-
-void HttpListener::acceptConnections() {
-  // One a turn: the poll set reports the socket again while more are waiting.
-  Poco::Net::StreamSocket socket;
-  try {
-    socket = socket_.acceptConnection();
-  } catch (const Poco::Exception&) {
-    return;
-  }
-  if (connections_.size() >= maxConnections_)
-    return;  // closed: bounded, and the caller sees it at once
-  auto connection =
-      std::make_shared<ServerConnection>(loop_, TcpConnection::adopt(loop_, socket), context);
-  auto* key = connection.get();
-  connections_.emplace(key, connection);
-  connection->start([this, key, alive = alive_] {
-    if (*alive) connections_.erase(key);
-  });
+void ServerConnection::closeAfterAnswer() {
+  timer_.cancel();
+  over_ = true;
+  connection_->closeAfterFlush();
+  abandonExchanges();  // what was sent behind it counts as unread
+  if (onClosed_) onClosed_();
 }
 
-void HttpListener::closeIdleConnections() {
-  std::vector<ServerConnection::Ptr> idle;
-  for (auto& [key, guest] : connections_) {
-    if (guest->isIdle()) idle.push_back(guest);
-  }
-  for (auto& connection : idle) connection->close();
+void ServerConnection::beginNextAnswer() {
+  const auto next = exchanges_.front();
+  connection_->write(std::exchange(next->heldOutput_, {}));
+  if (!next->dispatched_ && !next->over_) dispatch(next);
+  if (!next->over_ && next->onFlushed) next->onFlushed();
 }
 
 }  // namespace merlingauge::http
--- a/src/http/server_connection.hpp
+++ b/src/http/server_connection.hpp
@@ -1,153 +1,106 @@
-// guest: the server side of HTTP. One Guest is one connection of a caller, one Visit one request
-// on it and its answer. Requests that come before earlier ones are answered may run at once, if
-// whoever serves them allows it; answers keep the order of the requests.
+// server_connection: one connection of a caller and the requests on it, in their order.
 #pragma once
 
-#include <Poco/Net/HTTPRequest.h>
-#include <Poco/Net/HTTPResponse.h>
-#include <Poco/Net/ServerSocket.h>
-
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <functional>
-#include <map>
 #include <memory>
-#include <string>
+#include <optional>
 #include <string_view>
-#include <vector>
 
 #include "base/errors.hpp"
-#include "http/message_framing.hpp"
+#include "base/time.hpp"
+#include "event/event_loop.hpp"
+#include "event/timer.hpp"
+#include "http/body_framing.hpp"
+#include "http/listener_context.hpp"
+#include "http/server_exchange.hpp"
 #include "http/tcp_connection.hpp"
 
 namespace merlingauge::http {
 
-struct ConnectionLimits {
-  std::size_t maxHeadBytes = 16384;
-  std::uint64_t maxBodyBytes = 64ULL << 20;
-  Duration headerTimeout = std::chrono::seconds(5);
-  Duration idleTimeout = std::chrono::seconds(60);
-};
-
-class ServerConnection;
-
-class ServerExchange : public std::enable_shared_from_this<ServerExchange> {
- public:
-  using Ptr = std::shared_ptr<ServerExchange>;
-  using ExtraHeaders = std::vector<std::pair<std::string, std::string>>;
-
-  Poco::Net::HTTPRequest request;
-  BodyFraming requestFraming;
-  TimePoint startedAt;
-  std::string receivedBody;   // received, not yet taken by the owner
-  bool bodyComplete = false;  // the whole body has come
-
-  std::function<void()> onBody;        // more body, or its end
-  std::function<void()> onClientGone;  // the caller left before the answer was whole
-  std::function<void()> onFlushed;
-
-  // A streamed answer: head, pieces, end. `cut` ends it so that it can't look whole.
-  void sendHead(Poco::Net::HTTPResponse& response, const BodyFraming& answerPlan);
-  void sendBody(std::string_view bytes);
-  void endResponse();
-  void abortResponse();
-  // An answer in one go.
-  void respond(int status, const std::string& reason, std::string_view text,
-               const std::string& type, const ExtraHeaders& extra = {});
-  void respondError(ErrorKind kind, const std::string& detail = "", const ExtraHeaders& extra = {});
-  // An interim answer: taken, and being worked on.
-  void sendProcessing();
-  // The caller has closed its connection, and the loop hasn't come to it yet. A process that stood
-  // still finds the request and its end in the socket together.
-  [[nodiscard]] bool clientHasClosed() const;
-  void bodyConsumed(std::size_t held);  // back-pressure: the owner still holds this much
-
-  [[nodiscard]] bool headSent() const { return headSent_; }
-  [[nodiscard]] bool isOver() const { return over_; }
-  [[nodiscard]] std::size_t unsentBytes() const;
-
- private:
-  friend class ServerConnection;
-  void write(std::string_view bytes);
-  std::weak_ptr<ServerConnection> connection_;
-  std::string heldOutput_;  // written before it is this answer's turn
-  bool started_ = false;    // handed to whoever serves it
-  bool aborted_ = false;
-  BodyFraming responseFraming_;
-  bool headSent_ = false;
-  bool over_ = false;
-  bool closeAfterResponse_ = false;
-  bool isHeadRequest_ = false;
-};
-
-// What all guests of one listener share.
-struct ListenerContext {
-  ConnectionLimits limits;
-  bool draining = false;  // answers carry Connection: close
-  std::function<void(const ServerExchange::Ptr&)> onExchange;
-  std::function<void(ErrorKind)> onRejected;
-  // May this one run before those ahead of it on its connection are answered? Unset: never.
-  std::function<bool(const ServerExchange&)> mayPipeline;
-  int activeExchanges = 0;  // being served now
-};
-
+/// Reads requests, hands them out in turn, or earlier where ListenerContext::mayPipeline allows it,
+/// and puts the answers on the wire in the order of the requests.
+///
+/// Ownership: its HttpListener holds it until it ends; it holds its TcpConnection (which refers to
+/// it weakly), its exchanges until their answers have ended, and a share of the ListenerContext.
+/// Ends by the caller's close, by an answer that closes, by a timeout, or by close(); then it calls
+/// `onClosed` once. Thread: the event-loop thread only.
+///
+/// Two invariants (docs/design.md, "What holds on every connection") rest on this class:
+/// - an answer reaches exactly the caller of its request: exchanges_ keeps the order of the
+///   requests, and only the front writes to the connection (isFront);
+/// - a request that may not be repeated is offered to at most one server: it is handed out only at
+///   the front (beginExchange), and what lies behind an answer that closes is dropped unread.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   using Ptr = std::shared_ptr<ServerConnection>;
+
   ServerConnection(event::EventLoop& loop, TcpConnection::Ptr connection,
-                   std::shared_ptr<ListenerContext> reception);
-  void start(std::function<void()> onGone);
+                   std::shared_ptr<ListenerContext> context);
+
+  /// Begins to read. `onClosed` is called once, when the connection has ended.
+  void start(std::function<void()> onClosed);
+  /// Ends the connection now; requests without a complete answer hear onClientGone.
   void close();
+  /// No request is running, waiting, or on its way in.
   [[nodiscard]] bool isIdle() const { return exchanges_.empty() && connection_->input.empty(); }
 
  private:
-  friend class ServerExchange;
+  friend class ServerExchange;  // writes its answer by way of the following
+
+  /// Whether it is this exchange's turn to be answered.
+  [[nodiscard]] bool isFront(const ServerExchange& exchange) const;
+  /// Whether no other request has come behind it.
+  [[nodiscard]] bool isLast(const ServerExchange& exchange) const;
+  [[nodiscard]] bool isDraining() const { return context_->draining; }
+  [[nodiscard]] std::size_t unsentBytes() const { return connection_->unsentBytes(); }
+  [[nodiscard]] bool closedByPeer() const { return connection_->closedByPeer(); }
+  void write(std::string_view bytes) { connection_->write(bytes); }
+  /// Reads on only while less than the limit of a request's body is buffered.
+  void limitReading(std::size_t bufferedBytes);
+  /// The answer whose turn it was has ended: on to those that wait behind it.
+  void onFrontFinished();
+
+  /// What a piece of a body left.
+  struct BodyProgress {
+    bool complete = false;
+    std::optional<ErrorKind> error;
+  };
+
   void advance();
+  /// False where the input holds no further request for now, or the last one was rejected.
   bool beginExchange();
-  void feedBody();
+  /// Bytes of the head at the front of the input; nullopt where it is incomplete or was rejected.
+  std::optional<std::size_t> findCompleteHead();
+  /// Takes the head at the front of the input; nullptr where it was rejected.
+  ServerExchange::Ptr parseExchange(std::size_t headSize);
+  void enqueue(const ServerExchange::Ptr& exchange);
+  void dispatch(const ServerExchange::Ptr& exchange);
+  BodyProgress readBody(ServerExchange& exchange);
+  void continueBody();
   void reject(ErrorKind kind);
-  void exchangeOver();
+  void closeAfterAnswer();
+  void beginNextAnswer();
   void abandonExchanges();
-  void begun(const ServerExchange::Ptr& exchange);
-  [[nodiscard]] bool isFront(const ServerExchange* exchange) const;
-  [[nodiscard]] bool mayReadOn() const;
-  void armTimer(Duration wait, bool inHead);
-  void ended();
+  [[nodiscard]] bool mayBeginNext() const;
+  void expectHead();
+  void startTimer(Duration wait);
+  void onTimeout();
 
   event::EventLoop& loop_;
   TcpConnection::Ptr connection_;
-  std::shared_ptr<ListenerContext> listener_;
-  std::deque<ServerExchange::Ptr>
-      exchanges_;  // in the order of their requests; the last may still be coming
-  BodyReader reader_;
-  std::uint64_t bodyBytesSeen_ = 0;
+  std::shared_ptr<ListenerContext> context_;
+  /// In the order of their requests; the body of the last may still be coming.
+  std::deque<ServerExchange::Ptr> exchanges_;
+  BodyReader bodyReader_;            // of the last exchange
+  std::uint64_t bodyBytesRead_ = 0;  // of the last exchange
   std::function<void()> onClosed_;
-  event::EventLoop::TimerId timer_ = 0;
-  bool inHead_ = false;
+  event::Timer timer_;          // runs only while there is no exchange
+  bool expectingHead_ = false;  // it limits the arrival of a head, not an idle connection
   bool advancing_ = false;
   bool over_ = false;
 };
 
-// A listening socket with its guests.
-class HttpListener {
- public:
-  HttpListener(event::EventLoop& loop, const Poco::Net::SocketAddress& at, std::size_t maxGuests);
-  ~HttpListener();
-  HttpListener(const HttpListener&) = delete;
-  HttpListener& operator=(const HttpListener&) = delete;
-  std::shared_ptr<ListenerContext> context = std::make_shared<ListenerContext>();
-  void closeIdleConnections();
-  void stopAccepting();  // no new connections
-  [[nodiscard]] std::size_t connectionCount() const { return connections_.size(); }
-
- private:
-  void acceptConnections();
-  event::EventLoop& loop_;
-  Poco::Net::ServerSocket socket_;
-  std::size_t maxConnections_;
-  std::map<ServerConnection*, ServerConnection::Ptr> connections_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  bool accepting_ = true;
-};
-
 }  // namespace merlingauge::http
--- a/src/http/tcp_connection.cpp
+++ b/src/http/tcp_connection.cpp
@@ -6,7 +6,6 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-#include <algorithm>
 #include <array>
 #include <cerrno>
 
@@ -15,25 +14,30 @@
 using Poco::Net::PollSet;
 
 namespace {
-constexpr int kSilentPeerMs = 2000;
-constexpr std::size_t kReadChunk = 16384;
-constexpr Duration kLinger = std::chrono::seconds(1);
+// One read a turn of the loop and connection, so that a fast sender can't starve the others.
+constexpr std::size_t kReadChunkBytes = 16384;
+// An output buffer that grew beyond this gives its memory back when it is empty.
+constexpr std::size_t kRetainedOutputBytes = 4 * kReadChunkBytes;
+// How long a caller has to read the last answer of a connection that closes behind it.
+constexpr Duration kLingerTimeout = std::chrono::seconds(1);
+
+bool isTransient(const Poco::Exception& error) {
+  return error.code() == EAGAIN || error.code() == EWOULDBLOCK;
+}
 }  // namespace
 
 TcpConnection::TcpConnection(event::EventLoop& loop, const Poco::Net::StreamSocket& socket,
                              State state)
-    : loop_(loop), socket_(socket), state_(state) {}
+    : loop_(loop), socket_(socket), state_(state), timer_(loop) {}
 
 TcpConnection::~TcpConnection() {
-  if (state_ != State::closed) {
-    loop_.cancel(timer_);
-    loop_.forget(socket_);
-  }
+  if (state_ != State::closed) loop_.forget(socket_);
 }
 
 TcpConnection::Ptr TcpConnection::connect(event::EventLoop& loop,
-                                          const Poco::Net::SocketAddress& to, Duration connectLimit,
-                                          int userTimeoutMs) {
+                                          const Poco::Net::SocketAddress& to,
+                                          Duration connectTimeout,
+                                          std::chrono::milliseconds tcpUserTimeout) {
   Poco::Net::StreamSocket socket;
   bool failed = false;
   try {
@@ -43,15 +47,12 @@
   }
   Ptr connection(new TcpConnection(loop, socket, State::connecting));
   if (failed) {
-    loop.defer([connection] { connection->ended(EndReason::connectFailed); });
+    loop.defer([connection] { connection->end(EndReason::connectFailed); });
     return connection;
   }
-  connection->attach(userTimeoutMs);
-  connection->timer_ = loop.after(connectLimit, [weak = std::weak_ptr<TcpConnection>(connection)] {
-    if (const auto self = weak.lock()) {
-      self->timer_ = 0;
-      self->ended(EndReason::connectFailed);
-    }
+  connection->attach(tcpUserTimeout);
+  connection->timer_.start(connectTimeout, [weak = connection->weak_from_this()] {
+    if (const auto self = weak.lock()) self->end(EndReason::connectFailed);
   });
   return connection;
 }
@@ -59,23 +60,23 @@
 TcpConnection::Ptr TcpConnection::adopt(event::EventLoop& loop,
                                         const Poco::Net::StreamSocket& socket) {
   Ptr connection(new TcpConnection(loop, socket, State::open));
-  connection->attach(0);
+  connection->attach(kDefaultTcpUserTimeout);
   return connection;
 }
 
-void TcpConnection::attach(int userTimeoutMs) {
+void TcpConnection::attach(std::chrono::milliseconds tcpUserTimeout) {
+  if (tcpUserTimeout.count() <= 0) tcpUserTimeout = kDefaultTcpUserTimeout;
   try {
     socket_.setBlocking(false);
     socket_.setNoDelay(true);
-    socket_.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT,
-                      userTimeoutMs > 0 ? userTimeoutMs : kSilentPeerMs);
+    socket_.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(tcpUserTimeout.count()));
   } catch (const Poco::Exception&) {
-    // Without these the connection is slower to notice a silent peer, not wrong.
+    // Without these the connection is slower to notice a peer that is gone, not wrong.
   }
   const int mode = state_ == State::connecting ? PollSet::POLL_WRITE | PollSet::POLL_ERROR
                                                : PollSet::POLL_READ | PollSet::POLL_ERROR;
-  loop_.watch(socket_, mode, [weak = weak_from_this()](int m) {
-    if (const auto self = weak.lock()) self->ready(m);
+  loop_.watch(socket_, mode, [weak = weak_from_this()](int readyMode) {
+    if (const auto self = weak.lock()) self->onReady(readyMode);
   });
 }
 
@@ -83,57 +84,59 @@
   if (state_ == State::closed) return;
   int mode = PollSet::POLL_ERROR;
   if (state_ == State::connecting || unsentBytes() > 0) mode |= PollSet::POLL_WRITE;
-  if (state_ == State::closing || (state_ == State::open && reading_)) {
+  if (state_ == State::closing || (state_ == State::open && readingEnabled_)) {
     mode |= PollSet::POLL_READ;
   }
   loop_.change(socket_, mode);
 }
 
-void TcpConnection::ready(int mode) {
-  const auto hold = shared_from_this();
+void TcpConnection::onReady(int mode) {
+  const auto self = shared_from_this();  // a callback may let go of the connection
   if (state_ == State::connecting) {
-    int error = 0;
-    try {
-      error = socket_.impl()->socketError();
-    } catch (const Poco::Exception&) {
-      error = EIO;
-    }
-    if (error != 0) {
-      ended(EndReason::connectFailed);
-      return;
-    }
-    if ((mode & PollSet::POLL_WRITE) == 0) return;
-    loop_.cancel(timer_);
-    timer_ = 0;
-    state_ = State::open;
-    if (onOpen) onOpen();
-    if (state_ == State::open) {
-      flush();
-      updateInterest();
-    }
+    finishConnect(mode);
     return;
   }
-  if ((mode & PollSet::POLL_READ) != 0 || (mode & PollSet::POLL_ERROR) != 0) readAvailable();
+  if ((mode & (PollSet::POLL_READ | PollSet::POLL_ERROR)) != 0) readAvailable();
   if (state_ == State::closed) return;
   if ((mode & PollSet::POLL_WRITE) != 0) flush();
 }
 
+void TcpConnection::finishConnect(int mode) {
+  int error = 0;
+  try {
+    error = socket_.impl()->socketError();
+  } catch (const Poco::Exception&) {
+    error = EIO;
+  }
+  if (error != 0) {
+    end(EndReason::connectFailed);
+    return;
+  }
+  if ((mode & PollSet::POLL_WRITE) == 0) return;
+  timer_.cancel();
+  state_ = State::open;
+  if (onOpen) onOpen();
+  if (state_ != State::open) return;
+  flush();
+  updateInterest();
+}
+
 void TcpConnection::readAvailable() {
-  static thread_local std::array<char, kReadChunk> chunk;
-  int got = 0;
+  static thread_local std::array<char, kReadChunkBytes> chunk;
+  int received = 0;
   try {
-    got = socket_.receiveBytes(chunk.data(), static_cast<int>(chunk.size()));
+    received = socket_.receiveBytes(chunk.data(), static_cast<int>(chunk.size()));
   } catch (const Poco::Exception&) {
-    ended(EndReason::reset);
+    end(EndReason::reset);
     return;
   }
-  if (got < 0) return;
-  if (got == 0) {
-    ended(EndReason::closed);
+  if (received < 0) return;
+  if (received == 0) {
+    end(EndReason::closed);
     return;
   }
   if (state_ == State::closing) return;  // whatever comes now belongs to nobody
-  input.append(chunk.data(), static_cast<std::size_t>(got));
+  input.append(chunk.data(), static_cast<std::size_t>(received));
   if (onData) onData();
 }
 
@@ -173,45 +176,52 @@
 }
 
 void TcpConnection::flush() {
-  const auto hold = shared_from_this();
-  const bool had = unsentBytes() > 0;
-  if (had) {
-    int sent = 0;
-    try {
-      sent = socket_.sendBytes(output_.data() + sentBytes_, static_cast<int>(unsentBytes()));
-    } catch (const Poco::Exception& problem) {
-      // Poco throws here even where the socket is only full for now.
-      if (problem.code() != EAGAIN && problem.code() != EWOULDBLOCK) {
-        ended(EndReason::reset);
-        return;
-      }
-    }
-    if (sent > 0) sentBytes_ += static_cast<std::size_t>(sent);
-  }
+  const auto self = shared_from_this();
+  const bool hadOutput = unsentBytes() > 0;
+  if (hadOutput && !sendBuffered()) return;
   if (unsentBytes() == 0) {
     output_.clear();
-    if (output_.capacity() > 4 * kReadChunk) output_.shrink_to_fit();
+    if (output_.capacity() > kRetainedOutputBytes) output_.shrink_to_fit();
     sentBytes_ = 0;
-    if (state_ == State::closing && !shut_) {
-      shut_ = true;
-      try {
-        socket_.shutdownSend();
-      } catch (const Poco::Exception&) {
-        ended(EndReason::reset);
-        return;
-      }
-    }
-  } else if (sentBytes_ > kReadChunk) {
+    if (state_ == State::closing && !shutdownSending()) return;
+  } else if (sentBytes_ > kReadChunkBytes) {
     output_.erase(0, sentBytes_);
     sentBytes_ = 0;
   }
   updateInterest();
-  if (had && unsentBytes() == 0 && state_ == State::open && onFlushed) onFlushed();
+  if (hadOutput && unsentBytes() == 0 && state_ == State::open && onFlushed) onFlushed();
+}
+
+bool TcpConnection::sendBuffered() {
+  int sent = 0;
+  try {
+    sent = socket_.sendBytes(output_.data() + sentBytes_, static_cast<int>(unsentBytes()));
+  } catch (const Poco::Exception& error) {
+    // Poco throws here even where the socket is only full for now.
+    if (!isTransient(error)) {
+      end(EndReason::reset);
+      return false;
+    }
+  }
+  if (sent > 0) sentBytes_ += static_cast<std::size_t>(sent);
+  return true;
+}
+
+bool TcpConnection::shutdownSending() {
+  if (sendingShutDown_) return true;
+  sendingShutDown_ = true;
+  try {
+    socket_.shutdownSend();
+  } catch (const Poco::Exception&) {
+    end(EndReason::reset);
+    return false;
+  }
+  return true;
 }
 
-void TcpConnection::enableReading(bool on) {
-  if (reading_ == on) return;
-  reading_ = on;
+void TcpConnection::enableReading(bool enabled) {
+  if (readingEnabled_ == enabled) return;
+  readingEnabled_ = enabled;
   updateInterest();
 }
 
@@ -223,16 +233,16 @@
   }
   state_ = State::closing;
   releaseCallbacks();
-  timer_ = loop_.after(kLinger, [self = shared_from_this()] { self->close(); });
+  timer_.start(kLingerTimeout, [self = shared_from_this()] { self->close(); });
   scheduleFlush();
   updateInterest();
 }
 
 void TcpConnection::close() {
   if (state_ == State::closed) return;
+  const auto self = shared_from_this();  // the timer's task may hold the last reference
   state_ = State::closed;
-  loop_.cancel(timer_);
-  timer_ = 0;
+  timer_.cancel();
   loop_.forget(socket_);
   try {
     socket_.close();
@@ -242,23 +252,20 @@
   releaseCallbacks();
 }
 
-// The callbacks may be running right now: they are let go at the end of the turn.
 void TcpConnection::releaseCallbacks() {
   if (!onOpen && !onData && !onFlushed && !onEnd) return;
-  loop_.defer([a = std::move(onOpen), b = std::move(onData), c = std::move(onFlushed),
-               d = std::move(onEnd)] {});
-  onOpen = nullptr;
-  onData = nullptr;
-  onFlushed = nullptr;
-  onEnd = nullptr;
+  // One of them may be running now.
+  loop_.defer([open = std::exchange(onOpen, nullptr), data = std::exchange(onData, nullptr),
+               flushed = std::exchange(onFlushed, nullptr),
+               end = std::exchange(onEnd, nullptr)] {});
 }
 
-void TcpConnection::ended(EndReason end) {
+void TcpConnection::end(EndReason reason) {
   if (state_ == State::closed) return;
-  const auto hold = shared_from_this();
-  const auto tell = onEnd;
+  const auto self = shared_from_this();
+  const auto callback = onEnd;
   close();
-  if (tell) tell(end);
+  if (callback) callback(reason);
 }
 
 }  // namespace merlingauge::http
--- a/src/http/tcp_connection.hpp
+++ b/src/http/tcp_connection.hpp
@@ -1,10 +1,11 @@
-// rope: one TCP connection on the loop, non-blocking, with an output buffer that is flushed once
-// a turn and a reader that can be paused.
+// tcp_connection: one non-blocking TCP connection on the event loop, with an output buffer that is
+// flushed once a turn and a reader that can be paused.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/StreamSocket.h>
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <memory>
@@ -13,62 +14,103 @@
 
 #include "base/time.hpp"
 #include "event/event_loop.hpp"
+#include "event/timer.hpp"
 
 namespace merlingauge::http {
 
+/// Ownership: whoever uses the connection holds the one lasting reference: a ClientExchange while
+/// it runs, then the ConnectionPool; a ServerConnection for connections accepted. The event loop
+/// refers to it weakly, except behind closeAfterFlush(), when it keeps the connection until the
+/// output has left or kLingerTimeout is over. The socket is closed by close() or with the object.
+/// Thread: the event-loop thread only.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
  public:
   using Ptr = std::shared_ptr<TcpConnection>;
-  enum class EndReason : std::uint8_t { closed, reset, connectFailed };
 
+  /// Why onEnd is called.
+  enum class EndReason : std::uint8_t {
+    closed,         ///< the other side ended it in an orderly way
+    reset,          ///< it broke
+    connectFailed,  ///< it never came up
+  };
+
+  /// A connection that is being opened; onOpen or onEnd tells what becomes of it, never before this
+  /// turn of the loop is over. `tcpUserTimeout`: sent bytes that stay unacknowledged for so long
+  /// end the connection; 0 for the default.
   static Ptr connect(event::EventLoop& loop, const Poco::Net::SocketAddress& to,
-                     Duration connectLimit, int userTimeoutMs = 0);
+                     Duration connectTimeout,
+                     std::chrono::milliseconds tcpUserTimeout = kDefaultTcpUserTimeout);
+  /// A connection that was accepted.
   static Ptr adopt(event::EventLoop& loop, const Poco::Net::StreamSocket& socket);
   ~TcpConnection();
+  TcpConnection(const TcpConnection&) = delete;
+  TcpConnection& operator=(const TcpConnection&) = delete;
+
+  // Set by the owner of the connection. All are released when it closes, at the end of the turn,
+  // since one of them may be running then.
+  std::function<void()> onOpen;          ///< once, when a connect() has succeeded
+  std::function<void()> onData;          ///< new bytes in `input`
+  std::function<void()> onFlushed;       ///< all that was written has left
+  std::function<void(EndReason)> onEnd;  ///< once, when it ended without close() of the owner
 
-  std::function<void()> onOpen;
-  std::function<void()> onData;     // new bytes in `in`
-  std::function<void()> onFlushed;  // all that was written has left
-  std::function<void(EndReason)> onEnd;
+  /// Received bytes that the owner has not taken yet; the owner erases what it takes.
   std::string input;
+  /// Set by the ConnectionPool when it takes the connection in.
+  TimePoint idleSince;
 
+  /// Buffers bytes; they leave at the end of this turn of the loop. Nothing happens once closing.
   void write(std::string_view bytes);
-  void closeAfterFlush();  // close once everything is flushed; nothing more is read for the owner
-  void close();            // close now
-  void enableReading(bool on);
-  // Looks at the socket itself: is it still quiet and open?
+  /// Closes once everything is flushed; nothing more is read for the owner, who may let go of it.
+  void closeAfterFlush();
+  /// Closes now and drops what is not sent. onEnd is not called.
+  void close();
+  /// Pauses or resumes reading (back-pressure).
+  void enableReading(bool enabled);
+  /// Looks at the socket itself: open, and nothing has come on it?
   [[nodiscard]] bool isQuiet();
-  // Looks at the socket itself: has the other side closed behind what it sent?
+  /// Looks at the socket itself: has the other side closed behind what it sent?
   [[nodiscard]] bool closedByPeer();
 
   [[nodiscard]] bool isOpen() const { return state_ == State::open; }
   [[nodiscard]] bool isClosed() const { return state_ == State::closed; }
   [[nodiscard]] std::size_t unsentBytes() const { return output_.size() - sentBytes_; }
 
-  TimePoint idleSince;
-  int exchangesServed = 0;
-
  private:
-  enum class State : std::uint8_t { connecting, open, closing, closed };
+  /// A kernel that acknowledges nothing for so long is gone with its machine or link: a live one
+  /// acknowledges within a round trip, also when the process behind it stands still.
+  static constexpr std::chrono::milliseconds kDefaultTcpUserTimeout{2000};
+
+  enum class State : std::uint8_t {
+    connecting,  ///< the kernel is connecting
+    open,        ///< bytes go both ways
+    closing,     ///< closeAfterFlush(): what is buffered leaves, what comes is dropped
+    closed,      ///< the socket is closed
+  };
+
   TcpConnection(event::EventLoop& loop, const Poco::Net::StreamSocket& socket, State state);
-  void attach(int userTimeoutMs);
-  void ready(int mode);
+  void attach(std::chrono::milliseconds tcpUserTimeout);
+  void onReady(int mode);
+  void finishConnect(int mode);
   void readAvailable();
   void flush();
+  /// False where the connection ended by it.
+  bool sendBuffered();
+  bool shutdownSending();
   void scheduleFlush();
+  /// Asks the loop for what this state can use.
   void updateInterest();
-  void ended(EndReason end);
+  void end(EndReason reason);
   void releaseCallbacks();
 
   event::EventLoop& loop_;
   Poco::Net::StreamSocket socket_;
   State state_;
   std::string output_;
-  std::size_t sentBytes_ = 0;
-  bool reading_ = true;
+  std::size_t sentBytes_ = 0;  // at the front of output_
+  bool readingEnabled_ = true;
   bool flushScheduled_ = false;
-  bool shut_ = false;
-  event::EventLoop::TimerId timer_ = 0;
+  bool sendingShutDown_ = false;
+  event::Timer timer_;  // of the connect, later of the linger
 };
 
 }  // namespace merlingauge::http
--- a/src/node/listeners.hpp
+++ b/src/node/listeners.hpp
@@ -9,7 +9,7 @@
 #include "config/route_table.hpp"
 #include "control/control_api.hpp"
 #include "event/event_loop.hpp"
-#include "http/server_connection.hpp"
+#include "http/http_listener.hpp"
 #include "node/peer_endpoint.hpp"
 #include "node/settings.hpp"
 #include "proxy/egress.hpp"
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -30,7 +30,7 @@
 // when its kernel has acknowledged nothing for this long.
 constexpr Duration kEdgeIdleKeptFor = std::chrono::seconds(9);
 constexpr int kEdgeIdleKeptPerAddress = 8;
-constexpr int kMachineGoneAfterMs = 700;
+constexpr std::chrono::milliseconds kMachineGoneAfter{700};
 
 // Gossip takes processor time; a node with little of it spaces its messages by these costs of one
 // whole core, up to a limit.
@@ -71,13 +71,13 @@
 
 http::ConnectionPool::Options upstreamPoolOptions(const Settings& settings) {
   if (settings.isGateway()) {
-    return {kPeerConnectTimeout, kEdgeIdleKeptFor, kEdgeIdleKeptPerAddress, kMachineGoneAfterMs};
+    return {kPeerConnectTimeout, kEdgeIdleKeptFor, kEdgeIdleKeptPerAddress, kMachineGoneAfter};
   }
-  return {kPeerConnectTimeout, kIdleKeptFor, kIdleKeptPerAddress, 0};
+  return {kPeerConnectTimeout, kIdleKeptFor, kIdleKeptPerAddress, {}};
 }
 
 http::ConnectionPool::Options serverPoolOptions() {
-  return {kServerConnectTimeout, kIdleKeptFor, kIdleKeptPerAddress, 0};
+  return {kServerConnectTimeout, kIdleKeptFor, kIdleKeptPerAddress, {}};
 }
 
 Duration spacing(double costMs, const Settings& settings) {
--- a/src/node/peer_endpoint.hpp
+++ b/src/node/peer_endpoint.hpp
@@ -10,7 +10,7 @@
 #include "control/register_service.hpp"
 #include "event/event_loop.hpp"
 #include "gossip/gossip_service.hpp"
-#include "http/server_connection.hpp"
+#include "http/server_exchange.hpp"
 #include "rpc/peer_rpc.hpp"
 
 namespace merlingauge::node {
--- a/src/node/status_report.hpp
+++ b/src/node/status_report.hpp
@@ -6,7 +6,7 @@
 #include "control/register_service.hpp"
 #include "event/event_loop.hpp"
 #include "gossip/gossip_service.hpp"
-#include "http/client_exchange.hpp"
+#include "http/connection_pool.hpp"
 #include "membership/instance_registry.hpp"
 #include "node/config_applier.hpp"
 #include "node/control_node_liveness.hpp"
--- a/src/proxy/egress.cpp
+++ b/src/proxy/egress.cpp
@@ -8,6 +8,7 @@
 #include <cmath>
 #include <utility>
 
+#include "http/message_headers.hpp"
 #include "proxy/peer_headers.hpp"
 
 namespace merlingauge::proxy {
--- a/src/proxy/egress.hpp
+++ b/src/proxy/egress.hpp
@@ -7,9 +7,9 @@
 #include <memory>
 
 #include "config/route_table.hpp"
-#include "http/client_exchange.hpp"
+#include "http/connection_pool.hpp"
 #include "http/idle_timeout_estimator.hpp"
-#include "http/server_connection.hpp"
+#include "http/server_exchange.hpp"
 #include "membership/instance_registry.hpp"
 #include "proxy/attempt_planner.hpp"
 #include "proxy/endpoint_subset.hpp"
--- a/src/proxy/ingress.cpp
+++ b/src/proxy/ingress.cpp
@@ -9,6 +9,7 @@
 #include <cstdlib>
 #include <utility>
 
+#include "http/message_headers.hpp"
 #include "proxy/peer_headers.hpp"
 #include "proxy/upstream_transport.hpp"
 
--- a/src/proxy/ingress.hpp
+++ b/src/proxy/ingress.hpp
@@ -8,9 +8,9 @@
 #include <memory>
 #include <optional>
 
-#include "http/client_exchange.hpp"
+#include "http/connection_pool.hpp"
 #include "http/idle_timeout_estimator.hpp"
-#include "http/server_connection.hpp"
+#include "http/server_exchange.hpp"
 #include "membership/instance_registry.hpp"
 #include "proxy/admission_queue.hpp"
 
--- a/src/rpc/peer_rpc.cpp
+++ b/src/rpc/peer_rpc.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "config/config_schema.hpp"
+#include "http/message_headers.hpp"
 
 namespace merlingauge::rpc {
 
--- a/src/rpc/peer_rpc.hpp
+++ b/src/rpc/peer_rpc.hpp
@@ -14,6 +14,7 @@
 #include "base/time.hpp"
 #include "event/event_loop.hpp"
 #include "http/client_exchange.hpp"
+#include "http/connection_pool.hpp"
 
 namespace merlingauge::rpc {
 
--- a/tests/http/client_exchange_test.cpp
+++ b/tests/http/client_exchange_test.cpp
@@ -9,6 +9,8 @@
 #include <thread>
 
 #include "event/event_loop.hpp"
+#include "http/connection_pool.hpp"
+#include "http/message_headers.hpp"
 
 namespace merlingauge::test {
 namespace {
--- a/tests/loopback/lightweight_node.hpp
+++ b/tests/loopback/lightweight_node.hpp
@@ -10,7 +10,7 @@
 #include "consensus/value_codec.hpp"
 #include "event/event_loop.hpp"
 #include "gossip/gossip_service.hpp"
-#include "http/server_connection.hpp"
+#include "http/http_listener.hpp"
 #include "membership/instance_registry.hpp"
 #include "node/gossip_environment.hpp"
 #include "rpc/peer_rpc.hpp"
--- a/tests/loopback/proxy_path.hpp
+++ b/tests/loopback/proxy_path.hpp
@@ -5,6 +5,7 @@
 #include <unistd.h>
 
 #include "config/route_table.hpp"
+#include "http/http_listener.hpp"
 #include "loopback/loopback_peers.hpp"
 #include "proxy/egress.hpp"
 #include "proxy/ingress.hpp"
@@ -81,9 +82,12 @@
         ledger_(ledger),
         book_(facts("n"), Incarnation{1}),
         ropes_(loop, gateway ? http::ConnectionPool::Options{std::chrono::milliseconds(300),
-                                                             std::chrono::seconds(9), 8, 700}
+                                                             std::chrono::seconds(9), 8,
+                                                             std::chrono::milliseconds(700)}
                              : http::ConnectionPool::Options{std::chrono::milliseconds(300),
-                                                             std::chrono::seconds(20), 64, 0}),
+                                                             std::chrono::seconds(20),
+                                                             64,
+                                                             {}}),
         way_(at(0, kWayIn)) {
     std::unique_ptr<proxy::UpstreamTransport> transport;
     if (gateway) {
@@ -151,8 +155,8 @@
     if (gateway) return;
     auto& site = sites_.at(static_cast<std::size_t>(i));
     site.ropes = std::make_unique<http::ConnectionPool>(
-        bell_, http::ConnectionPool::Options{std::chrono::milliseconds(400),
-                                             std::chrono::seconds(20), 64, 0});
+        bell_, http::ConnectionPool::Options{
+                   std::chrono::milliseconds(400), std::chrono::seconds(20), 64, {}});
     site.book = std::make_unique<membership::InstanceRegistry>(facts("s"), Incarnation{1});
     site.book->handleHeartbeat(server, bell_.now());
     site.ingress = std::make_unique<proxy::Ingress>(proxy::Ingress::Dependencies{
--- a/tests/simulation/document_world.cpp
+++ b/tests/simulation/document_world.cpp
@@ -4,7 +4,8 @@
 
 #include "base/errors.hpp"
 #include "config/route_table.hpp"
-#include "http/message_framing.hpp"
+#include "http/body_framing.hpp"
+#include "http/message_head.hpp"
 #include "node/settings.hpp"
 #include "proxy/upstream_transport.hpp"
 #include "simulation/scenario_runner.hpp"
@@ -28,8 +29,8 @@
 
 // How a connection takes these bytes: whole, incomplete, 400, 413, 431.
 std::string requestVerdict(const std::string& bytes, std::size_t headLimit, std::size_t bodyLimit) {
-  std::size_t size = 0;
-  switch (http::findHead(bytes, headLimit, size)) {
+  const auto [found, size] = http::findHead(bytes, headLimit);
+  switch (found) {
     case http::HeadParseResult::incomplete:
       return "incomplete";
     case http::HeadParseResult::tooLarge:
@@ -42,8 +43,7 @@
   const std::string bad = std::to_string(responseFor(ErrorKind::malformedRequest).status);
   Poco::Net::HTTPRequest request;
   const auto head = bytes.substr(0, size);
-  const auto plan =
-      http::isStrictHead(head, true) ? http::parseRequestHead(head, request) : std::nullopt;
+  const auto plan = http::parseRequestHead(head, request);
   if (!plan) return bad;
   if (plan->kind == http::FramingKind::contentLength && plan->length > bodyLimit) {
     return std::to_string(responseFor(ErrorKind::bodyTooLarge).status);
