--- a/src/rpc/request_body.hpp
+++ b/src/rpc/request_body.hpp
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string>
 
-#include "http/server_connection.hpp"
+#include "http/server_exchange.hpp"
 
 namespace merlingauge::rpc {
 
