--- a/src/gossip/gossip_client.cpp
+++ b/src/gossip/gossip_client.cpp
@@ -202,6 +202,8 @@
   try {
     merge(peer, response);
   } catch (const std::exception&) {
+    // A DecodeError, or a value that rests on a text that this node lacks; and whatever else
+    // decoding may throw must not end the process either.
     links_.at(peer).nextPullAt = parts_.dependencies.environment.now() + kRetryInterval;
     return false;
   }
--- a/src/gossip/pull_messages.cpp
+++ b/src/gossip/pull_messages.cpp
@@ -5,6 +5,7 @@
 
 #include "base/json_fields.hpp"
 #include "gossip/wire_keys.hpp"
+#include "membership/registry_codec.hpp"
 
 namespace merlingauge::gossip {
 
@@ -39,13 +40,8 @@
 }
 
 VersionVectorEntries vectorOf(const json& message) {
-  VersionVectorEntries entries;
   const auto found = message.find(wire::kVector);
-  if (found == message.end()) return entries;
-  for (const auto& [source, counter] : found->items()) {
-    entries[SourceId(source)] = decodeAs<std::uint64_t>(counter, wire::kVector);
-  }
-  return entries;
+  return found == message.end() ? VersionVectorEntries() : membership::entriesFromJson(*found);
 }
 
 PullBack pullBackOf(const json& message) {
