--- a/src/node/voter_set_observer.cpp
+++ b/src/node/voter_set_observer.cpp
@@ -52,8 +52,8 @@
   peer.knownFor = now - firstSeen;
   // Only silence counts during which this node could have heard: not from before it ran or had
   // its quorum lease.
-  peer.silentFor = now - std::max({gossip_.lastHeard(node), firstSeen, lifecycle_.listeningSince(),
-                                   gossip_.leaseHeldSince()});
+  peer.unresponsiveFor = now - std::max({gossip_.lastHeard(node), firstSeen,
+                                         lifecycle_.listeningSince(), gossip_.leaseHeldSince()});
   peer.heardRecently = gossip_.heardWithin(node, consensus::kVoterUnresponsiveAfter);
   const auto known = registry_.nodes().find(node);
   if (known != registry_.nodes().end()) {
--- a/tests/simulation/register_world.cpp
+++ b/tests/simulation/register_world.cpp
@@ -716,10 +716,10 @@
         seen.recovered = m.ledge->recovered();
         seen.shuttingDown = m.leaving >= 0;
       } else if (it == m.heard.end()) {
-        seen.silentFor = span(m.listening);
+        seen.unresponsiveFor = span(m.listening);
       } else {
         seen.knownFor = span(it->second.known);
-        seen.silentFor = span(std::max(it->second.at, m.listening));
+        seen.unresponsiveFor = span(std::max(it->second.at, m.listening));
         seen.heardRecently = span(it->second.at) <= consensus::kVoterUnresponsiveAfter;
         seen.recovered = it->second.awake;
         seen.shuttingDown = it->second.leaving;
@@ -741,7 +741,7 @@
     }
     for (const auto& seen : view.nodes) {
       if (next != view.voters || next.size() <= consensus::minVoters(view.faultTolerance)) break;
-      if (seen.silentFor > consensus::kVoterLostAfter) std::erase(next, seen.id);
+      if (seen.unresponsiveFor > consensus::kVoterLostAfter) std::erase(next, seen.id);
     }
     std::sort(next.begin(), next.end());
     return next == view.voters ? std::nullopt : std::make_optional(next);
