--- a/src/http/client_exchange.cpp
+++ b/src/http/client_exchange.cpp
@@ -123,7 +123,7 @@
   const auto framing = parseResponseHead(head, isHeadRequest_, response);
   if (!framing) return std::nullopt;
   const int status = response.getStatus();
-  // No request of ours asks for another protocol.
+  // No request from here asks for another protocol.
   if (status == HTTPResponse::HTTP_SWITCHING_PROTOCOLS) return std::nullopt;
   const bool isFinal = status >= HTTPResponse::HTTP_OK;
   // An answer reaches exactly its caller: without our Attempt-Id these are surplus or late bytes of
--- a/src/http/server_exchange.hpp
+++ b/src/http/server_exchange.hpp
@@ -42,7 +42,7 @@
   TimePoint startedAt;
   /// Bytes of the body that whoever serves the exchange has not taken yet; it erases what it takes.
   std::string receivedBody;
-  /// The whole body has come; what is not in receivedBody was taken.
+  /// The body is complete; what is not in receivedBody was taken.
   bool bodyComplete = false;
 
   // Set by whoever serves the exchange, and often holding it: whoever sets them releases them when
@@ -63,7 +63,7 @@
   void endResponse();
   /// Ends the answer so that it can't look complete: the connection is reset.
   void abortResponse();
-  /// A whole answer in one go.
+  /// A complete answer in one go.
   void respond(int status, const std::string& reason, std::string_view body,
                const std::string& contentType, const ExtraHeaders& extra = {});
   /// The answer for an error of this node. `detail` is appended to its text.
