--- a/tests/loopback/lightweight_node.hpp
+++ b/tests/loopback/lightweight_node.hpp
@@ -1,5 +1,6 @@
-// A hollow node: the project's own membership, news and configuration code over the real messages,
-// many of them on one loop. It has a server that beats and carries no traffic.
+// lightweight_node: a node without proxies. The project's own membership, gossip and configuration
+// code over the real messages, many nodes on one loop. Each has a server instance that sends
+// heartbeats and carries no traffic.
 #pragma once
 
 #include <memory>
@@ -18,186 +19,212 @@
 
 namespace merlingauge::test {
 
-struct HollowTerms {
+struct LightweightNodeOptions {
   NodeId id;
   ZoneName zone;
-  ServiceName service;  // of the server beside it
+  ServiceName service;  // of the instance beside it
   std::vector<NodeId> seeds;
   std::uint16_t port = 0;  // between nodes
   Duration heartbeat = std::chrono::milliseconds(1500);
-  // A configuration is known here: its revision.
-  std::function<void(std::int64_t)> learned;
+  // A newer configuration is known here.
+  std::function<void(std::int64_t)> onRevision;
 };
 
-class Hollow {
+class LightweightNode {
  public:
-  Hollow(event::EventLoop& loop, HollowTerms terms) : bell_(loop), terms_(std::move(terms)) {
+  LightweightNode(event::EventLoop& loop, LightweightNodeOptions options)
+      : loop_(loop), options_(std::move(options)) {
     start();
   }
-  ~Hollow() { ++life_; }
-  Hollow(const Hollow&) = delete;
-  Hollow& operator=(const Hollow&) = delete;
+  ~LightweightNode() { ++run_; }
+  LightweightNode(const LightweightNode&) = delete;
+  LightweightNode& operator=(const LightweightNode&) = delete;
 
-  // Ends as by SIGTERM and comes back empty, with a new server.
+  // Ends as by SIGTERM and comes back empty, with a new instance.
   void restart() {
-    ++life_;
-    before_ = messages();
-    beforeBytes_ = allBytes();
-    book_->deregister(server_.id, bell_.now());
-    book_->announceShutdown();
-    roster_->stop();
-    door_.reset();
-    roster_.reset();
+    ++run_;
+    messagesOfEarlierRuns_ = messages();
+    bytesOfEarlierRuns_ = allBytes();
+    registry_->deregister(instance_.id, loop_.now());
+    registry_->announceShutdown();
+    gossip_->stop();
+    listener_.reset();
+    gossip_.reset();
     environment_.reset();
-    wire_.reset();
-    book_.reset();
-    value_ = {};
-    shelf_ = {};
+    rpc_.reset();
+    registry_.reset();
+    committed_ = {};
+    textCache_ = {};
     start();
   }
 
   void tick() {
-    const TimePoint now = bell_.now();
-    if (now >= beatAt_) {
-      beatAt_ = now + terms_.heartbeat;
-      ++server_.sequence;
-      if (book_->handleHeartbeat(server_, now) ==
+    const TimePoint now = loop_.now();
+    if (now >= nextHeartbeatAt_) {
+      nextHeartbeatAt_ = now + options_.heartbeat;
+      ++instance_.sequence;
+      if (registry_->handleHeartbeat(instance_, now) ==
           membership::InstanceRegistry::HeartbeatResult::changed)
-        roster_->notifyUpdate();
+        gossip_->notifyUpdate();
     }
-    const auto silent = fromSeconds(toSeconds(terms_.heartbeat) * 2.6);
-    if (book_->expireInstances(now, silent, std::chrono::seconds(60))) roster_->notifyUpdate();
-    if (book_->releaseThrottledUpdates(now)) roster_->notifyUpdate();
-    roster_->tick();
+    const auto unresponsiveAfter = fromSeconds(toSeconds(options_.heartbeat) * kMissedHeartbeats);
+    if (registry_->expireInstances(now, unresponsiveAfter, kForgetGoneAfter)) {
+      gossip_->notifyUpdate();
+    }
+    if (registry_->releaseThrottledUpdates(now)) gossip_->notifyUpdate();
+    gossip_->tick();
   }
 
-  [[nodiscard]] std::size_t nodes() const { return book_->nodes().size(); }
+  [[nodiscard]] std::size_t nodes() const { return registry_->nodes().size(); }
   [[nodiscard]] std::uint64_t messages() const {
-    return before_ + wire_->traffic().requestsSent + wire_->traffic().requestsReceived;
+    return messagesOfEarlierRuns_ + rpc_->traffic().requestsSent + rpc_->traffic().requestsReceived;
   }
-  [[nodiscard]] std::uint64_t allBytes() const { return beforeBytes_ + bytes(); }
-  [[nodiscard]] std::int64_t revision() const { return value_.revision().value; }
+  [[nodiscard]] std::uint64_t allBytes() const { return bytesOfEarlierRuns_ + bytes(); }
+  [[nodiscard]] std::int64_t revision() const { return committed_.revision().value; }
 
  private:
+  // An instance is unresponsive after so many heartbeats that did not come.
+  static constexpr double kMissedHeartbeats = 2.6;
+  static constexpr Duration kForgetGoneAfter = std::chrono::seconds(60);
+  // As of a node with a tenth of a processor core.
+  static constexpr Duration kUpdateInterval = std::chrono::milliseconds(80);
+  static constexpr Duration kFullSyncInterval = std::chrono::milliseconds(30);
+  static constexpr std::size_t kMaxConnections = 256;
+  static constexpr std::size_t kMaxBodyBytes = 16U << 20;
+
   // A timer of a node that has been restarted since does nothing.
   class Environment final : public node::GossipEnvironment {
    public:
-    Environment(Hollow& owner, int incarnation)
-        : node::GossipEnvironment(owner.bell_, *owner.wire_),
-          owner_(owner),
-          incarnation_(incarnation) {}
+    Environment(LightweightNode& owner, int run)
+        : node::GossipEnvironment(owner.loop_, *owner.rpc_), owner_(owner), runOfTimers_(run) {}
     TimerId runAfter(Duration delay, std::function<void()> task) override {
       return node::GossipEnvironment::runAfter(
-          delay, [&owner = owner_, incarnation = incarnation_, task = std::move(task)] {
-            if (incarnation == owner.life_) task();
+          delay, [&owner = owner_, run = runOfTimers_, task = std::move(task)] {
+            if (run == owner.run_) task();
           });
     }
 
    private:
-    Hollow& owner_;
-    int incarnation_;
+    LightweightNode& owner_;
+    int runOfTimers_;
   };
 
   // Without an acceptor: it learns committed values by gossip only.
   class Replica final : public consensus::RegisterReplica {
    public:
-    explicit Replica(Hollow& owner) : owner_(owner) {}
+    explicit Replica(LightweightNode& owner) : owner_(owner) {}
     [[nodiscard]] const consensus::RegisterValue& committedValue() const override {
-      return owner_.value_;
+      return owner_.committed_;
     }
     [[nodiscard]] const std::string& committedValueJson(std::uint64_t has) override {
-      owner_.text_ =
-          consensus::toJson(owner_.value_, {owner_.shelf_.find(has) ? has : 0}, &owner_.shelf_)
+      owner_.encodedValue_ =
+          consensus::toJson(owner_.committed_, {owner_.textCache_.find(has) ? has : 0},
+                            &owner_.textCache_)
               .dump();
-      return owner_.text_;
+      return owner_.encodedValue_;
     }
     [[nodiscard]] consensus::RegisterValue decodeValue(
         const nlohmann::json& encoded) const override {
-      return consensus::valueFromJson(encoded, &owner_.shelf_);
+      return consensus::valueFromJson(encoded, &owner_.textCache_);
     }
     void learn(const consensus::RegisterValue& value) override { owner_.learn(value); }
     [[nodiscard]] std::optional<TimePoint> ownAcceptedAsOf() const override { return std::nullopt; }
 
    private:
-    Hollow& owner_;
+    LightweightNode& owner_;
   };
 
   [[nodiscard]] std::uint64_t bytes() const {
-    const auto& t = wire_->traffic();
+    const auto& t = rpc_->traffic();
     return t.requestBytesSent + t.responseBytesReceived + t.requestBytesReceived +
            t.responseBytesSent;
   }
 
   void start() {
-    const auto clock =
-        static_cast<std::uint64_t>(event::EventLoop::readClock().time_since_epoch().count());
-    server_ = {};
-    server_.id = InstanceId("i-" + terms_.id.str() + "-" + std::to_string(life_));
-    server_.service = terms_.service;
-    server_.address = terms_.id.str() + ":9000";
-    server_.zone = terms_.zone;
-    server_.capacity = 8;
-    wire_ = std::make_unique<rpc::PeerRpc>(bell_, terms_.port);
-    book_ = std::make_unique<membership::InstanceRegistry>(
-        membership::NodeInfo{terms_.id, terms_.zone, false, false, false, 0, Incarnation{}},
-        Incarnation{clock});
-    environment_ = std::make_unique<Environment>(*this, life_);
-    gossip::GossipOptions options;
-    options.self = terms_.id;
-    options.zone = terms_.zone;
-    options.seeds = terms_.seeds;
-    options.updateInterval = std::chrono::milliseconds(80);
-    options.fullSyncInterval = std::chrono::milliseconds(30);
-    roster_ = std::make_unique<gossip::GossipService>(
-        gossip::GossipDependencies{*environment_, *book_, replica_, evidence_}, std::move(options),
-        observer_);
-    door_ = std::make_unique<http::HttpListener>(
-        bell_, Poco::Net::SocketAddress(terms_.id.str(), terms_.port), 256);
-    door_->context->limits.maxBodyBytes = 16U << 20;
-    door_->context->onExchange = [this](const http::ServerExchange::Ptr& exchange) {
+    startInstance();
+    rpc_ = std::make_unique<rpc::PeerRpc>(loop_, options_.port);
+    const auto clock = event::EventLoop::readClock().time_since_epoch().count();
+    registry_ = std::make_unique<membership::InstanceRegistry>(
+        membership::NodeInfo{options_.id, options_.zone, false, false, false, 0, Incarnation{}},
+        Incarnation{static_cast<std::uint64_t>(clock)});
+    startGossip();
+    startListener();
+  }
+
+  void startInstance() {
+    instance_ = {};
+    instance_.id = InstanceId("i-" + options_.id.str() + "-" + std::to_string(run_));
+    instance_.service = options_.service;
+    instance_.address = options_.id.str() + ":9000";
+    instance_.zone = options_.zone;
+    instance_.capacity = 8;
+  }
+
+  void startGossip() {
+    environment_ = std::make_unique<Environment>(*this, run_);
+    gossip::GossipOptions gossipOptions;
+    gossipOptions.self = options_.id;
+    gossipOptions.zone = options_.zone;
+    gossipOptions.seeds = options_.seeds;
+    gossipOptions.updateInterval = kUpdateInterval;
+    gossipOptions.fullSyncInterval = kFullSyncInterval;
+    gossip_ = std::make_unique<gossip::GossipService>(
+        gossip::GossipDependencies{*environment_, *registry_, replica_, stalenessBound_},
+        std::move(gossipOptions), observer_);
+  }
+
+  void startListener() {
+    listener_ = std::make_unique<http::HttpListener>(
+        loop_, Poco::Net::SocketAddress(options_.id.str(), options_.port), kMaxConnections);
+    listener_->context->limits.maxBodyBytes = kMaxBodyBytes;
+    listener_->context->onExchange = [this](const http::ServerExchange::Ptr& exchange) {
       rpc::whenBodyComplete(exchange, [this, exchange](const std::string& body) {
-        wire_->countRequest(body.size());
-        auto document = nlohmann::json::parse(body, nullptr, false);
-        try {
-          roster_->handlePull(std::move(document), [this, exchange](const std::string& answer) {
-            wire_->countResponse(answer.size());
-            exchange->respond(200, "OK", answer, "application/json");
-          });
-        } catch (const std::exception&) {
-          exchange->respondError(ErrorKind::incompatibleMessage);
-        }
+        rpc_->countRequest(body.size());
+        handle(exchange, nlohmann::json::parse(body, nullptr, false));
       });
     };
   }
 
+  void handle(const http::ServerExchange::Ptr& exchange, nlohmann::json message) {
+    try {
+      gossip_->handlePull(std::move(message), [this, exchange](const std::string& response) {
+        rpc_->countResponse(response.size());
+        exchange->respond(200, "OK", response, "application/json");
+      });
+    } catch (const std::exception&) {
+      exchange->respondError(ErrorKind::incompatibleMessage);
+    }
+  }
+
   void learn(const consensus::RegisterValue& value) {
-    if (value.sequence <= value_.sequence) return;
-    const auto before = value_.revision();
-    value_ = value;
-    evidence_.onLearned(value.sequence);
-    shelf_.add(value_.config);
-    if (value_.revision() > before && terms_.learned) terms_.learned(value_.revision().value);
-    roster_->notifyUpdate();
+    if (value.sequence <= committed_.sequence) return;
+    const auto before = committed_.revision();
+    committed_ = value;
+    stalenessBound_.onLearned(value.sequence);
+    textCache_.add(committed_.config);
+    if (committed_.revision() > before && options_.onRevision)
+      options_.onRevision(committed_.revision().value);
+    gossip_->notifyUpdate();
   }
 
-  event::EventLoop& bell_;
-  HollowTerms terms_;
-  int life_ = 0;
-  std::uint64_t before_ = 0;
-  std::uint64_t beforeBytes_ = 0;
-  TimePoint beatAt_;
-  membership::Instance server_;
-  consensus::RegisterValue value_;
-  consensus::StalenessBound evidence_;
-  config::ConfigTextCache shelf_;
-  std::string text_;
-  std::unique_ptr<membership::InstanceRegistry> book_;
-  std::unique_ptr<rpc::PeerRpc> wire_;
+  event::EventLoop& loop_;
+  LightweightNodeOptions options_;
+  int run_ = 0;
+  std::uint64_t messagesOfEarlierRuns_ = 0;
+  std::uint64_t bytesOfEarlierRuns_ = 0;
+  TimePoint nextHeartbeatAt_;
+  membership::Instance instance_;
+  consensus::RegisterValue committed_;
+  consensus::StalenessBound stalenessBound_;
+  config::ConfigTextCache textCache_;
+  std::string encodedValue_;
+  std::unique_ptr<membership::InstanceRegistry> registry_;
+  std::unique_ptr<rpc::PeerRpc> rpc_;
   gossip::GossipObserver observer_;
   Replica replica_{*this};
   std::unique_ptr<Environment> environment_;
-  std::unique_ptr<gossip::GossipService> roster_;
-  std::unique_ptr<http::HttpListener> door_;
+  std::unique_ptr<gossip::GossipService> gossip_;
+  std::unique_ptr<http::HttpListener> listener_;
 };
 
 }  // namespace merlingauge::test
--- a/tests/loopback/scale_run.cpp
+++ b/tests/loopback/scale_run.cpp
@@ -121,16 +121,16 @@
 int hollowMain(int first, int count, const Sizes& sizes) {
   event::EventLoop loop;
   std::map<std::int64_t, std::int64_t> learned;  // when the last of them learned a revision
-  std::vector<std::unique_ptr<Hollow>> nodes;
+  std::vector<std::unique_ptr<LightweightNode>> nodes;
   for (int i = first; i < first + count; ++i) {
-    HollowTerms terms;
-    terms.id = NodeId(hollowIp(i));
-    terms.zone = ZoneName(zoneName(i, sizes));
-    terms.service = ServiceName(serviceName(1 + i % sizes.services));
-    for (int c = 0; c < std::min(3, sizes.cores); ++c) terms.seeds.emplace_back(coreIp(c));
-    terms.port = kInner;
-    terms.learned = [&learned](std::int64_t revision) { learned[revision] = nowUs(); };
-    nodes.push_back(std::make_unique<Hollow>(loop, std::move(terms)));
+    LightweightNodeOptions options;
+    options.id = NodeId(hollowIp(i));
+    options.zone = ZoneName(zoneName(i, sizes));
+    options.service = ServiceName(serviceName(1 + i % sizes.services));
+    for (int c = 0; c < std::min(3, sizes.cores); ++c) options.seeds.emplace_back(coreIp(c));
+    options.port = kInner;
+    options.onRevision = [&learned](std::int64_t revision) { learned[revision] = nowUs(); };
+    nodes.push_back(std::make_unique<LightweightNode>(loop, std::move(options)));
   }
   std::vector<std::function<void()>> ticks(nodes.size());
   for (std::size_t i = 0; i < nodes.size(); ++i) {
