--- a/src/cli/application.hpp
+++ b/src/cli/application.hpp
@@ -11,7 +11,7 @@
 
 namespace merlingauge::cli {
 
-/// Parses the command line and runs one command. Lives as long as the process.
+/// Parses the command line and runs one command. Exists as long as the process.
 class Application : public Poco::Util::Application {
  public:
   Application();
--- a/src/cli/commands.hpp
+++ b/src/cli/commands.hpp
@@ -1,4 +1,4 @@
-// commands: what the program can be told to do, one function a command, each in its own file.
+// commands: the commands of the program, one function a command, each in its own file.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace merlingauge::cli {
 
-/// Runs a node until it is told to stop by SIGTERM or SIGINT; SIGHUP reloads its settings.
+/// Runs a node until SIGTERM or SIGINT stops it; SIGHUP reloads its settings.
 ExitStatus runNode(const CommandOptions& options);
 
 /// Checks a settings file or a configuration without starting anything.
--- a/src/node/control_api_bindings.hpp
+++ b/src/node/control_api_bindings.hpp
@@ -39,7 +39,7 @@
     return parts_.heartbeatRouter.targetFor(id).value_or("");
   }
   void whenReplicated(const InstanceId& id, std::function<void(bool)> done) override {
-    parts_.replicationWaiter.whenReplicated(id, std::move(done));
+    parts_.replicationWaiter.whenReplicated(id, parts_.loop.now(), std::move(done));
   }
   void onInstanceUpdate(const membership::Instance& instance) override {
     if (parts_.ingress != nullptr) parts_.ingress->onInstanceUpdate(instance, parts_.loop.now());
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -60,7 +60,7 @@
   if (!settings_.isControlNode()) return true;
   if (elapsed > std::min(kHandOverTimeout, settings_.gracePeriod / 2)) return true;
   if (participants_.registerService.hasPendingWork()) return false;
-  const auto view = participants_.voterSet.view();
+  const auto view = participants_.voterSet.view(loop_.now());
   return !replacementIsDue(view) && isReplicated(view);
 }
 
--- a/src/node/graceful_shutdown.hpp
+++ b/src/node/graceful_shutdown.hpp
@@ -50,7 +50,7 @@
   const Settings& settings_;
   Lifecycle& lifecycle_;
   ShutdownParticipants participants_;
-  bool finished_ = false;  // the event loop has been told to stop
+  bool finished_ = false;  // EventLoop::stop is scheduled
 };
 
 }  // namespace merlingauge::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -130,11 +130,11 @@
       controlNodes_(lifecycle_, registry_, gossip_),
       startupThrottle_(settings_, registry_, gossip_),
       failureDetector_(settings_, lifecycle_, registry_, gossip_, controlNodes_, proxyNodes_),
-      replicationWaiter_(loop_, settings_, lifecycle_, registry_, registerService_, gossip_,
+      replicationWaiter_(settings_, lifecycle_, registry_, registerService_, gossip_,
                          controlNodes_),
       heartbeatRouter_(settings_, lifecycle_, registry_, controlNodes_),
-      voterSet_(loop_, settings_, lifecycle_, registry_, registerService_, gossip_),
-      voterRole_(loop_, settings_, lifecycle_, registry_, registerService_, gossip_, controlNodes_,
+      voterSet_(settings_, lifecycle_, registry_, registerService_, gossip_),
+      voterRole_(settings_, lifecycle_, registry_, registerService_, gossip_, controlNodes_,
                  voterSet_),
       readiness_(settings_, lifecycle_, registerService_, gossip_),
       statusReport_({loop_, settings_, registry_, registerService_, gossip_, rpc_, configApplier_,
@@ -205,7 +205,7 @@
 
 void Node::onNodesChanged() { proxyNodes_.update(); }
 
-void Node::onPeerProgress() { replicationWaiter_.checkPending(); }
+void Node::onPeerProgress() { replicationWaiter_.checkPending(loop_.now()); }
 
 void Node::onFirstContact(const NodeId& peer) {
   startupThrottle_.onFirstContact(peer, loop_.now());
@@ -235,13 +235,13 @@
   gossip_.tick();
   registerService_.tick();
   readiness_.tick(now);
-  replicationWaiter_.checkPending();
+  replicationWaiter_.checkPending(now);
   if (egress_ && now >= nextLoadExpiryAt_) {
     nextLoadExpiryAt_ = now + kLoadExpiryInterval;
     egress_->expireLoads(now);
   }
   if (settings_.isControlNode()) {
-    voterRole_.tick();
+    voterRole_.tick(now);
     failureDetector_.detectNodeFailures(now);
   }
   shutdown_.tick();
@@ -256,7 +256,7 @@
     logger().error("the new settings are rejected: " + error->message());
     return;
   }
-  // Addresses and identity hold for the life of the process; the rest applies now.
+  // Addresses and identity stay until the next start; the rest applies now.
   const auto& reloaded = std::get<Settings>(loaded);
   settings_.seeds = reloaded.seeds;
   gossip_.setSeeds(reloaded.seeds);
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -40,7 +40,7 @@
 
 namespace merlingauge::node {
 
-/// Owns the parts of one node and connects them; decides nothing itself. Lives as long as the
+/// Owns the parts of one node and connects them; decides nothing itself. Exists as long as the
 /// process. Event-loop thread only; the loop must outlive it.
 class Node : private control::RegisterObserver, private gossip::GossipObserver {
  public:
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -1,5 +1,7 @@
 #include "node/readiness.hpp"
 
+#include "consensus/register_value.hpp"
+
 namespace merlingauge::node {
 
 namespace {
@@ -9,16 +11,10 @@
 }  // namespace
 
 Readiness::Readiness(const Settings& settings, const Lifecycle& lifecycle,
-                     const control::RegisterService& registerService,
-                     const gossip::GossipService& gossip)
-    : settings_(settings),
-      lifecycle_(lifecycle),
-      registerService_(registerService),
-      gossip_(gossip) {}
-
-bool Readiness::hasConfiguration() const {
-  return registerService_.committedValue().config != nullptr;
-}
+                     const consensus::RegisterReplica& replica, const gossip::GossipService& gossip)
+    : settings_(settings), lifecycle_(lifecycle), replica_(replica), gossip_(gossip) {}
+
+bool Readiness::hasConfiguration() const { return replica_.committedValue().config != nullptr; }
 
 bool Readiness::isReady() const {
   if (lifecycle_.isShuttingDown() || !hasConfiguration() || !gossip_.hasPulled()) return false;
--- a/src/node/readiness.hpp
+++ b/src/node/readiness.hpp
@@ -4,7 +4,7 @@
 #include <optional>
 
 #include "base/time.hpp"
-#include "control/register_service.hpp"
+#include "consensus/register_replica.hpp"
 #include "gossip/gossip_service.hpp"
 #include "node/lifecycle.hpp"
 #include "node/settings.hpp"
@@ -16,7 +16,7 @@
 class Readiness {
  public:
   Readiness(const Settings& settings, const Lifecycle& lifecycle,
-            const control::RegisterService& registerService, const gossip::GossipService& gossip);
+            const consensus::RegisterReplica& replica, const gossip::GossipService& gossip);
 
   /// A node that carries traffic is ready once it has been up to date in this incarnation, and
   /// stays so: through a partition it goes on with what it has. A control node without traffic is
@@ -30,7 +30,7 @@
 
   const Settings& settings_;
   const Lifecycle& lifecycle_;
-  const control::RegisterService& registerService_;
+  const consensus::RegisterReplica& replica_;
   const gossip::GossipService& gossip_;
   std::optional<TimePoint> firstConfigurationAt_;  // in this incarnation
   bool wasUpToDate_ = false;                       // once true, stays true
--- a/src/node/replication_waiter.cpp
+++ b/src/node/replication_waiter.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "consensus/register_value.hpp"
+
 namespace merlingauge::node {
 
 namespace {
@@ -10,21 +12,19 @@
 constexpr Duration kReplicationTimeout = std::chrono::milliseconds(800);
 }  // namespace
 
-ReplicationWaiter::ReplicationWaiter(const event::EventLoop& loop, const Settings& settings,
-                                     const Lifecycle& lifecycle,
+ReplicationWaiter::ReplicationWaiter(const Settings& settings, const Lifecycle& lifecycle,
                                      const membership::InstanceRegistry& registry,
-                                     const control::RegisterService& registerService,
+                                     const consensus::RegisterReplica& replica,
                                      const gossip::GossipService& gossip,
                                      const ControlNodeLiveness& controlNodes)
-    : loop_(loop),
-      settings_(settings),
+    : settings_(settings),
       lifecycle_(lifecycle),
       registry_(registry),
-      registerService_(registerService),
+      replica_(replica),
       gossip_(gossip),
       controlNodes_(controlNodes) {}
 
-void ReplicationWaiter::whenReplicated(const InstanceId& id, Callback done) {
+void ReplicationWaiter::whenReplicated(const InstanceId& id, TimePoint now, Callback done) {
   // The ingress beside the server rejects what comes for it: that needs no other node.
   if (settings_.hasIngress()) {
     done(true);
@@ -34,12 +34,12 @@
     done(false);
     return;
   }
-  pending_.push_back({id, std::move(done), loop_.now() + kReplicationTimeout});
-  checkPending();
+  pending_.push_back({id, std::move(done), now + kReplicationTimeout});
+  checkPending(now);
 }
 
 std::size_t ReplicationWaiter::requiredReplicas() const {
-  const auto& voters = registerService_.committedValue().voters;
+  const auto& voters = replica_.committedValue().voters;
   const std::size_t otherVoters = voters.empty() ? 0 : voters.size() - 1;
   // A node that shuts down doesn't count itself as a replica.
   const std::size_t self = lifecycle_.isShuttingDown() ? 1 : 0;
@@ -52,7 +52,7 @@
   return !dot || gossip_.replicaCount(*dot) >= replicas;
 }
 
-void ReplicationWaiter::checkPending() {
+void ReplicationWaiter::checkPending(TimePoint now) {
   if (pending_.empty()) return;
   struct Completion {
     Callback done;
@@ -62,7 +62,7 @@
   std::vector<Completion> completions;
   std::erase_if(pending_, [&](PendingWait& wait) {
     const bool replicated = isReplicated(wait.id, replicas);
-    if (!replicated && loop_.now() < wait.deadline) return false;
+    if (!replicated && now < wait.deadline) return false;
     completions.push_back({std::move(wait.done), replicated});
     return true;
   });
--- a/src/node/replication_waiter.hpp
+++ b/src/node/replication_waiter.hpp
@@ -7,8 +7,7 @@
 
 #include "base/ids.hpp"
 #include "base/time.hpp"
-#include "control/register_service.hpp"
-#include "event/event_loop.hpp"
+#include "consensus/register_replica.hpp"
 #include "gossip/gossip_service.hpp"
 #include "membership/instance_registry.hpp"
 #include "node/control_node_liveness.hpp"
@@ -24,17 +23,17 @@
   /// Called once: true if enough replicas hold the update.
   using Callback = std::function<void(bool replicated)>;
 
-  ReplicationWaiter(const event::EventLoop& loop, const Settings& settings,
-                    const Lifecycle& lifecycle, const membership::InstanceRegistry& registry,
-                    const control::RegisterService& registerService,
-                    const gossip::GossipService& gossip, const ControlNodeLiveness& controlNodes);
+  ReplicationWaiter(const Settings& settings, const Lifecycle& lifecycle,
+                    const membership::InstanceRegistry& registry,
+                    const consensus::RegisterReplica& replica, const gossip::GossipService& gossip,
+                    const ControlNodeLiveness& controlNodes);
 
   /// Calls `done` once what is known here of the instance is replicated, or false after a time-out,
   /// or at once where this node can't know; the instance then asks another node. May call before
   /// it returns.
-  void whenReplicated(const InstanceId& id, Callback done);
+  void whenReplicated(const InstanceId& id, TimePoint now, Callback done);
   /// Completes the waits that are over. Called at each tick and whenever a peer has made progress.
-  void checkPending();
+  void checkPending(TimePoint now);
 
  private:
   struct PendingWait {
@@ -45,11 +44,10 @@
   [[nodiscard]] std::size_t requiredReplicas() const;
   [[nodiscard]] bool isReplicated(const InstanceId& id, std::size_t replicas) const;
 
-  const event::EventLoop& loop_;
   const Settings& settings_;
   const Lifecycle& lifecycle_;
   const membership::InstanceRegistry& registry_;
-  const control::RegisterService& registerService_;
+  const consensus::RegisterReplica& replica_;
   const gossip::GossipService& gossip_;
   const ControlNodeLiveness& controlNodes_;
   std::vector<PendingWait> pending_;
--- a/src/node/status_report.cpp
+++ b/src/node/status_report.cpp
@@ -45,7 +45,7 @@
   report["nodes"] = nodes();
   report["servers"] = instances();
   if (sources_.settings.isControlNode()) {
-    report["margin"] = consensus::quorumMargin(sources_.voterSet.view());
+    report["margin"] = consensus::quorumMargin(sources_.voterSet.view(sources_.loop.now()));
     report["authority"] = sources_.gossip.hasQuorumLease();
     report["authority_age_ms"] = ageInMillis(sources_.gossip.quorumContactAge());
   }
--- a/src/node/voter_role.cpp
+++ b/src/node/voter_role.cpp
@@ -8,12 +8,11 @@
 constexpr Duration kSpareListensFor = 2 * ControlNodeLiveness::kLiveWithin;
 }  // namespace
 
-VoterRole::VoterRole(const event::EventLoop& loop, const Settings& settings,
-                     const Lifecycle& lifecycle, membership::InstanceRegistry& registry,
+VoterRole::VoterRole(const Settings& settings, const Lifecycle& lifecycle,
+                     membership::InstanceRegistry& registry,
                      control::RegisterService& registerService, gossip::GossipService& gossip,
                      const ControlNodeLiveness& controlNodes, VoterSetObserver& voterSet)
-    : loop_(loop),
-      settings_(settings),
+    : settings_(settings),
       lifecycle_(lifecycle),
       registry_(registry),
       registerService_(registerService),
@@ -32,13 +31,13 @@
          controlNodes_.mayActForOthers();
 }
 
-void VoterRole::tick() {
+void VoterRole::tick(TimePoint now) {
   announceRecovery();
   if (!isEligible()) return;
-  const auto view = voterSet_.view();
+  const auto view = voterSet_.view(now);
   if (!consensus::ownsVoterSetRole(view, settings_.nodeId)) return;
   const bool isVoter = registerService_.committedValue().isVoter(settings_.nodeId);
-  const bool listenedEnough = loop_.now() - lifecycle_.startedAt() >= kSpareListensFor;
+  const bool listenedEnough = now - lifecycle_.startedAt() >= kSpareListensFor;
   if (!isVoter && !listenedEnough) return;
   registerService_.maintainVoterSet(view);
 }
--- a/src/node/voter_role.hpp
+++ b/src/node/voter_role.hpp
@@ -2,7 +2,6 @@
 #pragma once
 
 #include "control/register_service.hpp"
-#include "event/event_loop.hpp"
 #include "gossip/gossip_service.hpp"
 #include "membership/instance_registry.hpp"
 #include "node/control_node_liveness.hpp"
@@ -18,18 +17,17 @@
 /// only; all references must outlive it.
 class VoterRole {
  public:
-  VoterRole(const event::EventLoop& loop, const Settings& settings, const Lifecycle& lifecycle,
+  VoterRole(const Settings& settings, const Lifecycle& lifecycle,
             membership::InstanceRegistry& registry, control::RegisterService& registerService,
             gossip::GossipService& gossip, const ControlNodeLiveness& controlNodes,
             VoterSetObserver& voterSet);
   /// Announces the recovery of this node's acceptor, and changes the voters if that is due.
-  void tick();
+  void tick(TimePoint now);
 
  private:
   void announceRecovery();
   [[nodiscard]] bool isEligible() const;
 
-  const event::EventLoop& loop_;
   const Settings& settings_;
   const Lifecycle& lifecycle_;
   membership::InstanceRegistry& registry_;
--- a/src/node/voter_set_observer.cpp
+++ b/src/node/voter_set_observer.cpp
@@ -4,13 +4,11 @@
 
 namespace merlingauge::node {
 
-VoterSetObserver::VoterSetObserver(const event::EventLoop& loop, const Settings& settings,
-                                   const Lifecycle& lifecycle,
+VoterSetObserver::VoterSetObserver(const Settings& settings, const Lifecycle& lifecycle,
                                    const membership::InstanceRegistry& registry,
                                    const control::RegisterService& registerService,
                                    const gossip::GossipService& gossip)
-    : loop_(loop),
-      settings_(settings),
+    : settings_(settings),
       lifecycle_(lifecycle),
       registry_(registry),
       registerService_(registerService),
@@ -23,8 +21,7 @@
   return nodes;
 }
 
-consensus::VoterSetView VoterSetObserver::view() {
-  const TimePoint now = loop_.now();
+consensus::VoterSetView VoterSetObserver::view(TimePoint now) {
   const auto nodes = knownControlNodes();
   std::erase_if(firstSeenAt_, [&](const auto& entry) { return !nodes.contains(entry.first); });
   consensus::VoterSetView view{
--- a/src/node/voter_set_observer.hpp
+++ b/src/node/voter_set_observer.hpp
@@ -8,7 +8,6 @@
 #include "base/time.hpp"
 #include "consensus/voter_set.hpp"
 #include "control/register_service.hpp"
-#include "event/event_loop.hpp"
 #include "gossip/gossip_service.hpp"
 #include "membership/instance_registry.hpp"
 #include "node/lifecycle.hpp"
@@ -19,19 +18,18 @@
 /// Event-loop thread only; all references must outlive it.
 class VoterSetObserver {
  public:
-  VoterSetObserver(const event::EventLoop& loop, const Settings& settings,
-                   const Lifecycle& lifecycle, const membership::InstanceRegistry& registry,
+  VoterSetObserver(const Settings& settings, const Lifecycle& lifecycle,
+                   const membership::InstanceRegistry& registry,
                    const control::RegisterService& registerService,
                    const gossip::GossipService& gossip);
-  /// The committed voters and how every control node looks from here, now.
-  [[nodiscard]] consensus::VoterSetView view();
+  /// The committed voters and how every control node looks from here.
+  [[nodiscard]] consensus::VoterSetView view(TimePoint now);
 
  private:
   [[nodiscard]] std::set<NodeId> knownControlNodes() const;
   [[nodiscard]] consensus::ControlNodeView viewOfSelf(TimePoint now) const;
   [[nodiscard]] consensus::ControlNodeView viewOfPeer(const NodeId& node, TimePoint now);
 
-  const event::EventLoop& loop_;
   const Settings& settings_;
   const Lifecycle& lifecycle_;
   const membership::InstanceRegistry& registry_;
