--- a/src/control/acceptor_host.cpp
+++ b/src/control/acceptor_host.cpp
@@ -96,7 +96,7 @@
                     onReply = std::move(onReply)](const storage::StorageResult& error) {
     if (error) {
       unsaved_ = true;
-      logger().error("the disk refuses: " + error->message());
+      logger().error("acceptor state not written: " + error->message());
       onReply(std::nullopt);
       return;
     }
--- a/src/control/acceptor_recovery.cpp
+++ b/src/control/acceptor_recovery.cpp
@@ -1,6 +1,7 @@
 #include "control/acceptor_recovery.hpp"
 
 #include <nlohmann/json.hpp>
+#include <stdexcept>
 #include <utility>
 
 #include "consensus/message_codec.hpp"
@@ -68,8 +69,8 @@
   std::optional<consensus::RegisterReply> reply;
   try {
     reply = consensus::replyFromJson(*response, &textCache_);
-  } catch (const std::exception&) {
-    return;  // a malformed reply counts as none
+  } catch (const std::runtime_error&) {  // DecodeError or MissingCachedText
+    return;                              // counts as no reply
   }
   acceptorHost_.handleRejoinReply(from, *reply, replica_.committedValue());
 }
--- a/src/control/instance_operations.cpp
+++ b/src/control/instance_operations.cpp
@@ -44,7 +44,8 @@
   if (const auto known = registry_.findInstance(instance.id)) host_.onInstanceUpdate(*known);
   if (result != InstanceRegistry::HeartbeatResult::changed) return;
   const bool draining = instance.status == Instance::Status::draining;
-  logger().information("instance " + instance.id.str() + (draining ? " drains" : " is available"));
+  logger().information("instance " + instance.id.str() +
+                       (draining ? " is draining" : " is available"));
   host_.onRegistryChanged();
 }
 
