--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -7,7 +7,8 @@
 #include <random>
 #include <utility>
 
-#include "proxy/upstream_transport.hpp"
+#include "proxy/direct_transport.hpp"
+#include "proxy/mesh_transport.hpp"
 
 namespace merlingauge::node {
 
@@ -124,6 +125,8 @@
                        registerServiceOptions(settings_), seed_ + 1),
       gossip_({gossipEnvironment_, registry_, registerService_, stalenessBound_},
               gossipOptions(settings_, seed_), *this),
+      egressBindings_(configApplier_, gossip_),
+      ingressBindings_(loop_, registry_, gossip_),
       egress_(createEgress()),
       ingress_(createIngress()),
       proxyNodes_(registry_, egress_.get()),
@@ -166,27 +169,23 @@
   } else {
     transport = std::make_unique<proxy::MeshTransport>(settings_.ingressPort);
   }
-  return std::make_unique<proxy::Egress>(proxy::Egress::Dependencies{
-      loop_, upstreamPool_, registry_, [this] { return configApplier_.routeTable(); },
-      [this] { return gossip_.isUpToDate(); }, std::move(transport), settings_.targetService,
-      settings_.nodeId, settings_.zone, settings_.isGateway(),
-      proxy::RetryBudgetOptions{settings_.retryBudgetRatio, settings_.retryBudgetSlack,
-                                settings_.retryWindow},
-      seed_ + 2});
+  proxy::EgressOptions options;
+  options.callerService = settings_.targetService;
+  options.self = settings_.nodeId;
+  options.zone = settings_.zone;
+  options.gateway = settings_.isGateway();
+  options.retryBudget = {settings_.retryBudgetRatio, settings_.retryBudgetSlack,
+                         settings_.retryWindow};
+  options.seed = seed_ + 2;
+  return std::make_unique<proxy::Egress>(loop_, upstreamPool_, registry_, egressBindings_,
+                                         std::move(transport), options);
 }
 
 std::unique_ptr<proxy::Ingress> Node::createIngress() {
   if (!settings_.hasIngress()) return nullptr;
-  return std::make_unique<proxy::Ingress>(proxy::Ingress::Dependencies{
-      loop_, serverPool_, settings_.appAddress,
-      [this](const InstanceId& id) { return registry_.findReportedHere(id); },
-      settings_.drainTimeout,
-      [this](const InstanceId& id) {
-        if (registry_.markUnresponsive(id, loop_.now())) gossip_.notifyUpdate();
-      },
-      [this](const InstanceId& id, int tenths) {
-        if (registry_.setFailingTenths(id, tenths)) gossip_.notifyUpdate();
-      }});
+  return std::make_unique<proxy::Ingress>(
+      loop_, serverPool_, ingressBindings_,
+      proxy::IngressOptions{settings_.appAddress, settings_.drainTimeout});
 }
 
 control::ConfigChangeLimits Node::configChangeLimits() const {
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -25,6 +25,7 @@
 #include "node/lifecycle.hpp"
 #include "node/listeners.hpp"
 #include "node/peer_endpoint.hpp"
+#include "node/proxy_bindings.hpp"
 #include "node/proxy_node_feed.hpp"
 #include "node/readiness.hpp"
 #include "node/replication_waiter.hpp"
@@ -90,6 +91,8 @@
 
   // Requests.
   ConfigApplier configApplier_;
+  EgressBindings egressBindings_;
+  IngressBindings ingressBindings_;
   std::unique_ptr<proxy::Egress> egress_;    // null on a node without callers
   std::unique_ptr<proxy::Ingress> ingress_;  // null on a node without a server beside it
   TimePoint nextLoadExpiryAt_;
--- a/src/proxy/attempt_planner.hpp
+++ b/src/proxy/attempt_planner.hpp
@@ -1,10 +1,7 @@
-// ascent: one request from its route to its answer, as decisions. It is told what became of each
-// try and says what to do next. The egress carries it out; the test runner does too.
+// attempt_planner.hpp: decides, attempt by attempt, where one request goes until it has a response.
 #pragma once
 
 #include <cstdint>
-#include <functional>
-#include <string>
 #include <vector>
 
 #include "base/errors.hpp"
@@ -15,86 +12,124 @@
 
 namespace merlingauge::proxy {
 
-// A server this node may choose. Good until the loop's next turn: nothing is copied.
+/// An instance this node may choose. Its pointers are good until the loop's next turn: nothing is
+/// copied on the way of a request.
 struct Candidate {
   const InstanceId* id = nullptr;
-  const void* endpoint = nullptr;  // the owner's own
-  double load = 0;                 // as far as this node can tell
-  double peerLoad = 0;             // what others that draw from it are likely to have there
-  int slots = 1;
-  bool sameZone = true;  // in this node's zone
-  [[nodiscard]] bool hasLocalCapacity(double room) const { return sameZone && load < room * slots; }
+  const void* endpoint = nullptr;  ///< the candidate source's own
+  double load = 0;                 ///< requests there, as far as this node can tell
+  double peerLoad = 0;             ///< requests that other nodes are likely to have there by now
+  int slots = 1;                   ///< requests it runs at a time
+  bool sameZone = true;            ///< in this node's zone
+  /// In this zone, and loaded below `share` of its slots.
+  [[nodiscard]] bool hasLocalCapacity(double share) const {
+    return sameZone && load < share * slots;
+  }
 };
 
+/// Where the planner has its candidates from.
+class CandidateSource {
+ public:
+  virtual ~CandidateSource() = default;
+  /// The instances of `service` to choose from now. `nonIdempotent`: without those whose
+  /// reachability is in doubt. The list is the source's own, and good until the next call.
+  virtual const std::vector<Candidate>& candidates(const ServiceName& service, bool nonIdempotent,
+                                                   TimePoint now) = 0;
+};
+
+/// How an attempt ended without a response for the client.
 enum class AttemptOutcome : std::uint8_t {
-  overloaded,     // not passed on: the server's slots are taken
-  unavailable,    // not passed on: draining, unknown there, or not to be reached
-  unreachable,    // nothing left this node
-  notExecuted,    // the server itself said that it did not run it
-  maybeExecuted,  // it may have run, and there is no whole answer
+  overloaded,     ///< not passed on: the instance's slots are taken
+  unavailable,    ///< not passed on: draining, unknown there, or not to be reached
+  unreachable,    ///< nothing left this node
+  notExecuted,    ///< the instance itself said that it did not execute it
+  maybeExecuted,  ///< it may have been executed, and there is no whole response
 };
 
+/// What the route asks for one request.
 struct RequestPolicy {
   ServiceName service;
   bool idempotent = false;
-  int maxAttempts = 1;
+  int maxAttempts = 1;  ///< instances that may see the request, the first included
   TimePoint deadline;
-  bool replayable = true;  // the body is still held
-  double maxLoadPerSlot =
-      0;  // a server with more jobs than so many slots' worth is left alone; 0: any
+  bool replayable = true;     ///< the body is still held, so it can be sent again
+  double maxLoadPerSlot = 0;  ///< an instance with this load per slot is left alone; 0: no bound
 };
 
+/// What to do next for the request.
 struct PlannedAction {
-  // wait: another try is out, and its answer is still owed.
-  enum class Kind : std::uint8_t { send, wait, respond };
+  enum class Kind : std::uint8_t {
+    send,     ///< an attempt to `candidate`
+    wait,     ///< another attempt is pending, and its response is still owed
+    respond,  ///< with `error`
+  };
   Kind kind = Kind::respond;
   Candidate candidate;
-  bool mayQueue = false;
+  bool mayQueue = false;  ///< the attempt may wait for a slot
   ErrorKind error = ErrorKind::noEndpoint;
 };
 
+/// State machine of one request, without a clock or input and output: it is told what became of
+/// each attempt and returns what to do next. The egress carries it out; so does the simulation.
+///
+/// Keeps the second invariant of docs/design.md, "What holds on every connection": bytes of a
+/// request that may not be repeated are offered to one instance at most, unless that has proven
+/// that it did not execute it. And an error that promises "not executed" is returned only if every
+/// attempt ended with such a proof.
 class AttemptPlanner {
  public:
-  using Candidates = std::function<const std::vector<Candidate>&()>;
-  AttemptPlanner(RequestPolicy terms, Candidates candidates, DAdaptivePicker& picker,
+  /// The references must outlive the planner.
+  AttemptPlanner(RequestPolicy policy, CandidateSource& candidates, DAdaptivePicker& picker,
                  RetryBudget& retryBudget);
 
+  /// The first attempt.
   PlannedAction start(TimePoint now);
-  // What became of the try at `at`; without one, of the newest.
-  PlannedAction onAttemptEnded(const InstanceId& at, AttemptOutcome outcome, TimePoint now);
-  PlannedAction onAttemptEnded(AttemptOutcome outcome, TimePoint now);
-  // The try at `at` shows no sign of life. It stays out, for its answer is owed; whether another
-  // goes out beside it is the retry budget's to say.
-  PlannedAction onAttemptSilent(const InstanceId& at, TimePoint now);
-  void onInterimResponse(const InstanceId& at);
+  /// The attempt at `id` has ended without a response for the client.
+  PlannedAction onAttemptEnded(const InstanceId& id, AttemptOutcome outcome, TimePoint now);
+  /// The attempt at `id` shows no sign of life. It stays pending, for its response is owed; whether
+  /// another goes out beside it (hedging) is the retry budget's to say.
+  PlannedAction onAttemptSilent(const InstanceId& id, TimePoint now);
+  /// The attempt at `id` shows life.
+  void onInterimResponse(const InstanceId& id);
+  /// The body is too long to be held any more.
   void onBodyDiscarded() { policy_.replayable = false; }
-  // The deadline passed while a try was out.
+  /// The error for a deadline that passed. `sent`: a pending attempt may have left this machine.
   [[nodiscard]] ErrorKind errorAtDeadline(bool sent) const;
 
  private:
-  // A try that is out.
   struct PendingAttempt {
     InstanceId id;
     bool mayQueue = false;
     bool silent = false;
   };
+  /// The candidates that are left for this request.
+  struct Choice {
+    std::vector<Candidate> free;       // neither tried nor known to be full
+    std::vector<Candidate> queueable;  // all that may still be asked to queue it
+  };
   PlannedAction planNext(TimePoint now);
-  [[nodiscard]] bool hasPendingAttempt() const;
-  [[nodiscard]] bool isExcluded(const InstanceId& id) const;
-  [[nodiscard]] bool isKnownOverloaded(const InstanceId& id) const;
+  Choice remainingCandidates(TimePoint now);
+  [[nodiscard]] bool mayQueue(const Choice& choice) const;
+  PlannedAction send(const Candidate& candidate, bool mayQueue);
+  bool recordOutcome(const PendingAttempt& attempt, AttemptOutcome outcome);
+  [[nodiscard]] ErrorKind errorWithoutMoreAttempts(AttemptOutcome outcome) const;
   PlannedAction giveUp(ErrorKind kind) const;
+  void setSilent(const InstanceId& id, bool silent);
+  [[nodiscard]] bool mayHedge() const;
+  [[nodiscard]] bool hasResponsiveAttempt() const;
+  [[nodiscard]] ErrorKind nothingLeft() const;
 
   RequestPolicy policy_;
-  Candidates candidates_;
+  CandidateSource& candidates_;
   DAdaptivePicker& picker_;
   RetryBudget& retryBudget_;
-  std::vector<InstanceId> excluded_;    // can't be had for this request
-  std::vector<InstanceId> overloaded_;  // had no free slot
-  std::vector<PendingAttempt> pendingAttempts_;
-  int serversReached_ = 0;  // servers that may have seen it
-  int attempts_ = 0;
-  int queueRefusals_ = 0;
-  bool anyMaybeExecuted_ = false;
+  std::vector<InstanceId> excluded_;    // not to be asked again for this request
+  std::vector<InstanceId> overloaded_;  // had no free slot; may still be asked to queue it
+  std::vector<PendingAttempt> pending_;
+  int instancesReached_ = 0;       // that may have seen the request
+  int plans_ = 0;                  // how often a next attempt was looked for
+  int queueRejections_ = 0;        // instances that could not even queue it
+  bool anyMaybeExecuted_ = false;  // never reset: no later outcome undoes it
   bool anyOverloaded_ = false;
 };
 
--- a/src/proxy/egress.hpp
+++ b/src/proxy/egress.hpp
@@ -1,75 +1,58 @@
-// egress: takes requests from callers and carries out what their ascents decide, over connections
-// to the nodes beside the servers or, in a gateway, to the servers themselves.
+// egress.hpp: takes requests from clients and starts each on its way to an instance.
 #pragma once
 
-#include <cstdint>
-#include <functional>
+#include <cstddef>
 #include <memory>
+#include <vector>
 
 #include "config/route_table.hpp"
-#include "http/connection_pool.hpp"
-#include "http/idle_timeout_estimator.hpp"
 #include "http/server_exchange.hpp"
-#include "membership/instance_registry.hpp"
-#include "proxy/attempt_planner.hpp"
-#include "proxy/endpoint_subset.hpp"
-#include "proxy/load_tracker.hpp"
-#include "proxy/upstream_transport.hpp"
+#include "proxy/egress_state.hpp"
 
 namespace merlingauge::proxy {
 
-struct EgressStats {
-  std::uint64_t requests = 0;
-  std::uint64_t served = 0;
-  std::uint64_t rejected = 0;
-  std::uint64_t failed = 0;
-  std::uint64_t attempts = 0;
-  std::uint64_t samples = 0;
+/// Where the egress has its configuration from.
+class RouteSource {
+ public:
+  virtual ~RouteSource() = default;
+  /// The routes in force; null: this node has none yet.
+  [[nodiscard]] virtual config::RouteTable::Ptr routeTable() const = 0;
+  /// This node knows of no newer configuration than its own.
+  [[nodiscard]] virtual bool isUpToDate() const = 0;
 };
 
-class Egress {
+/// Lives as long as the process; event-loop thread only. The references must outlive it.
+class Egress : private ConnectionLimitSource {
  public:
-  struct Dependencies {
-    event::EventLoop& loop;
-    http::ConnectionPool& pool;
-    const membership::InstanceRegistry& registry;
-    std::function<config::RouteTable::Ptr()> routeTable;
-    std::function<bool()> isUpToDate;  // the configuration here is as new as anyone's
-    std::unique_ptr<UpstreamTransport> transport;
-    ServiceName callerService;  // of requests that begin on this machine; empty: of none
-    NodeId self;
-    ZoneName zone;
-    bool gateway = false;
-    RetryBudgetOptions retryBudget;
-    std::uint64_t seed = 0;
-  };
-  explicit Egress(Dependencies parts);
+  Egress(event::EventLoop& loop, http::ConnectionPool& pool,
+         const membership::InstanceRegistry& registry, const RouteSource& routes,
+         std::unique_ptr<UpstreamTransport> transport, const EgressOptions& options);
+
   void handle(const http::ServerExchange::Ptr& exchange);
-  // May this request run before those ahead of it on its connection are answered?
+  /// May this request run before those ahead of it on its connection are answered?
+  ///
+  /// Invariant (docs/design.md, "What holds on every connection"): bytes of a request that may not
+  /// be repeated are offered to one instance at most. A pipelined request may have to be abandoned
+  /// when one ahead of it ends the connection, so only idempotent ones run ahead.
   [[nodiscard]] bool mayPipeline(const http::ServerExchange& exchange) const;
-  // Nodes that carry traffic, and how many were ever heard of.
-  void setProxyNodes(std::vector<ProxyNode> nodes, std::size_t ever) {
-    retryBudget_.setNodeCount(ever);
-    subset_.setNodes(std::move(nodes));
-  }
-  void expireLoads(TimePoint now) { loadTracker_.expireUnused(now); }
-  [[nodiscard]] auto subsetViews(TimePoint now) const { return subset_.views(now); }
+  /// `nodes`: those that carry traffic now; `everSeen`: how many were ever heard of, for the share
+  /// in the retry budget.
+  void setProxyNodes(std::vector<ProxyNode> nodes, std::size_t everSeen);
+  /// Forgets what was observed of instances that aren't used any more.
+  void expireLoads(TimePoint now) { state_.endpoints.expireUnused(now); }
+  [[nodiscard]] auto subsetViews(TimePoint now) const { return state_.subset.views(now); }
+  /// While on, new requests are rejected: the node shuts down.
   void rejectNewRequests(bool on) { rejecting_ = on; }
-  [[nodiscard]] const EgressStats& stats() const { return stats_; }
-  [[nodiscard]] int inFlight() const { return inFlight_; }
+  [[nodiscard]] const EgressStats& stats() const { return state_.stats; }
+  /// Requests that a client still waits for.
+  [[nodiscard]] int inFlight() const { return state_.inFlight; }
 
  private:
-  friend class EgressRequest;
-  const config::Route* findRoute(const http::ServerExchange& exchange,
-                                 const config::RouteTable& routeTable) const;
-  Dependencies dependencies_;
-  DAdaptivePicker picker_;
-  RetryBudget retryBudget_;
-  LoadTracker loadTracker_;
-  EndpointSubset subset_;
-  http::IdleTimeoutEstimator idleTimeouts_;
-  EgressStats stats_;
-  int inFlight_ = 0;
+  [[nodiscard]] int maxConnections(const ServiceName& service) const override;
+
+  const RouteSource& routes_;
+  std::unique_ptr<UpstreamTransport> transport_;
+  EgressState state_;  // refers to `*transport_`
   bool rejecting_ = false;
 };
 
--- a/src/proxy/load_tracker.hpp
+++ b/src/proxy/load_tracker.hpp
@@ -1,62 +1,39 @@
-// loads: what this node makes of each server: its own requests in flight there, what was last told
-// of the others, aged; who was just found out of reach; and whose answers fail too often.
+// load_tracker.hpp: how many requests one instance has at the moment, as far as this node can tell.
 #pragma once
 
-#include <cstdint>
-#include <unordered_map>
-
-#include "base/ids.hpp"
 #include "base/time.hpp"
 
 namespace merlingauge::proxy {
 
+/// Estimates the load of one instance from this node's own requests there, which it knows exactly,
+/// and from the load that responses report, which counts the requests of all nodes but ages.
+/// A state machine without a clock: each call that depends on the time is given it.
+/// Used on the event-loop thread only.
 class LoadTracker {
  public:
-  struct EndpointLoad {
-    int ownRequests = 0;
-    double averageOwn = 0;  // of the own requests there, over the last seconds
-    TimePoint averagedAt;
-    double otherRequests = 0;
-    TimePoint reportedAt;
-    int failures = 0;
-    TimePoint unreachableUntil;
-    // Answers: the share that failed, weighted to the newest.
-    double failureRate = 0;
-    int ejections = 0;
-    TimePoint ejectedUntil;
-    TimePoint usedAt;
-  };
-
-  // Stays where it is until `generation` changes.
-  EndpointLoad& load(const InstanceId& id) { return loads_[id]; }
-  [[nodiscard]] std::uint64_t generation() const { return generation_; }
-
-  void onRequestStarted(const InstanceId& id, TimePoint now);
-  void onRequestEnded(const InstanceId& id, TimePoint now);
-  // `jobs` running and waiting at the server, the reporter's own included.
-  void onLoadReported(const InstanceId& id, double jobs, TimePoint now);
-  void onUnreachable(const InstanceId& id, TimePoint now);
-  void onReachable(const InstanceId& id);
-  // How a server's own answer turned out.
-  void onResponse(const InstanceId& id, bool well, TimePoint now);
-  // Forgets those not used for long.
-  void expireUnused(TimePoint now);
-
-  [[nodiscard]] static bool isReachable(const EndpointLoad& book, TimePoint now) {
-    return book.unreachableUntil <= now;
-  }
-  // Failed lately and not seen to work since: not for what can't be sent twice.
-  [[nodiscard]] static bool isDoubtful(const EndpointLoad& book, TimePoint now);
-  // Its answers fail: left alone until a trial shows otherwise.
-  [[nodiscard]] static bool isEjected(const EndpointLoad& book, TimePoint now);
-  [[nodiscard]] static double estimatedLoad(const EndpointLoad& book, TimePoint now);
-  // The own requests there, averaged over time: others that draw as this node does have as many.
-  [[nodiscard]] static double averageOwnLoad(const EndpointLoad& book, TimePoint now);
+  /// A request of this node goes there.
+  void onRequestStarted(TimePoint now) { addOwnRequests(1, now); }
+  /// A request that was counted by `onRequestStarted` is over or abandoned.
+  void onRequestEnded(TimePoint now) { addOwnRequests(-1, now); }
+  /// `requests`: running and queued at the instance, this node's own included.
+  void onLoadReported(double requests, TimePoint now);
+
+  /// Requests of this node that are in flight there.
+  [[nodiscard]] int ownRequests() const { return ownRequests_; }
+  /// Requests of all nodes there: the own ones, and the last report of the others', aged.
+  [[nodiscard]] double estimatedLoad(TimePoint now) const;
+  /// The own requests there, averaged over the last seconds. Another node that draws from the same
+  /// instances by the same rule has about as many, so this predicts its load without asking it.
+  [[nodiscard]] double averageOwnLoad(TimePoint now) const;
 
  private:
-  void count(EndpointLoad& book, int by, TimePoint now);
-  std::unordered_map<InstanceId, EndpointLoad> loads_;
-  std::uint64_t generation_ = 0;
+  void addOwnRequests(int change, TimePoint now);
+
+  int ownRequests_ = 0;       // never negative
+  double averageOwn_ = 0;     // exponentially weighted, as of `averagedAt_`
+  TimePoint averagedAt_;      // when `ownRequests_` last changed
+  double otherRequests_ = 0;  // of other nodes, as of `reportedAt_`
+  TimePoint reportedAt_;
 };
 
 }  // namespace merlingauge::proxy
--- a/tests/loopback/proxy_path.hpp
+++ b/tests/loopback/proxy_path.hpp
@@ -7,8 +7,10 @@
 #include "config/route_table.hpp"
 #include "http/http_listener.hpp"
 #include "loopback/loopback_peers.hpp"
+#include "proxy/direct_transport.hpp"
 #include "proxy/egress.hpp"
 #include "proxy/ingress.hpp"
+#include "proxy/mesh_transport.hpp"
 
 namespace merlingauge::test {
 
@@ -95,10 +97,11 @@
     } else {
       transport = std::make_unique<proxy::MeshTransport>(kIngressAt);
     }
-    egress_ = std::make_unique<proxy::Egress>(proxy::Egress::Dependencies{
-        loop, ropes_, book_, [] { return chart(); }, [] { return true; }, std::move(transport),
-        ServiceName("front"), NodeId("n"), ZoneName("z"), gateway,
-        proxy::RetryBudgetOptions{0.2, 60, std::chrono::seconds(10)}, number + 1});
+    egress_ = std::make_unique<proxy::Egress>(
+        loop, ropes_, book_, routes_, std::move(transport),
+        proxy::EgressOptions{ServiceName("front"), NodeId("n"), ZoneName("z"), gateway,
+                             proxy::RetryBudgetOptions{0.2, 60, std::chrono::seconds(10)},
+                             number + 1});
     egress_->setProxyNodes({{NodeId("n"), ZoneName("z")}}, 1);
     for (int i = 0; i < 2; ++i) addServer(i, gateway);
     const bool here = linked_ == Where::client;
@@ -125,9 +128,28 @@
   }
 
  private:
+  class Routes : public proxy::RouteSource {
+   public:
+    [[nodiscard]] config::RouteTable::Ptr routeTable() const override { return chart(); }
+    [[nodiscard]] bool isUpToDate() const override { return true; }
+  };
+  class Instances : public proxy::LocalInstances {
+   public:
+    explicit Instances(const membership::InstanceRegistry& book) : book_(book) {}
+    [[nodiscard]] std::optional<membership::Instance> findInstance(
+        const InstanceId& id) const override {
+      return book_.findReportedHere(id);
+    }
+    void onUnreachable(const InstanceId&) override {}
+    void onFailureRate(const InstanceId&, int) override {}
+
+   private:
+    const membership::InstanceRegistry& book_;
+  };
   struct Site {
     std::unique_ptr<http::ConnectionPool> ropes;
     std::unique_ptr<membership::InstanceRegistry> book;
+    std::unique_ptr<Instances> instances;
     std::unique_ptr<proxy::Ingress> ingress;
     std::unique_ptr<http::HttpListener> door;
   };
@@ -159,10 +181,10 @@
                    std::chrono::milliseconds(400), std::chrono::seconds(20), 64, {}});
     site.book = std::make_unique<membership::InstanceRegistry>(facts("s"), Incarnation{1});
     site.book->handleHeartbeat(server, bell_.now());
-    site.ingress = std::make_unique<proxy::Ingress>(proxy::Ingress::Dependencies{
-        bell_, *site.ropes, server.address,
-        [book = site.book.get()](const InstanceId& id) { return book->findReportedHere(id); },
-        std::chrono::seconds(1), [](const InstanceId&) {}, [](const InstanceId&, int) {}});
+    site.instances = std::make_unique<Instances>(*site.book);
+    site.ingress = std::make_unique<proxy::Ingress>(
+        bell_, *site.ropes, *site.instances,
+        proxy::IngressOptions{server.address, std::chrono::seconds(1)});
     site.ingress->onInstanceUpdate(server, bell_.now());
     const bool before = linked_ == Where::ingress;
     site.door = std::make_unique<http::HttpListener>(
@@ -180,6 +202,7 @@
   Ledger& ledger_;
   membership::InstanceRegistry book_;
   http::ConnectionPool ropes_;
+  Routes routes_;
   std::unique_ptr<proxy::Egress> egress_;
   std::array<Site, 2> sites_;
   std::unique_ptr<http::HttpListener> door_;
--- a/tests/simulation/document_world.cpp
+++ b/tests/simulation/document_world.cpp
@@ -7,7 +7,8 @@
 #include "http/body_framing.hpp"
 #include "http/message_head.hpp"
 #include "node/settings.hpp"
-#include "proxy/upstream_transport.hpp"
+#include "proxy/direct_transport.hpp"
+#include "proxy/mesh_transport.hpp"
 #include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
--- a/tests/simulation/endpoint_subset_world.cpp
+++ b/tests/simulation/endpoint_subset_world.cpp
@@ -5,6 +5,7 @@
 #include <memory>
 #include <set>
 
+#include "proxy/direct_transport.hpp"
 #include "proxy/endpoint_subset.hpp"
 #include "simulation/scenario_runner.hpp"
 
@@ -17,12 +18,18 @@
 namespace {
 
 struct Edge {
-  proxy::LoadTracker loads;
+  proxy::EndpointTable endpoints;
   std::unique_ptr<EndpointSubset> range;
   ZoneName zone;
   NodeId id;
 };
 
+struct FixedLimit : proxy::ConnectionLimitSource {
+  explicit FixedLimit(int most) : most_(most) {}
+  [[nodiscard]] int maxConnections(const ServiceName&) const override { return most_; }
+  int most_;
+};
+
 class RangeWorld {
  public:
   RangeWorld(const Scenario& scenario, std::uint64_t seed)
@@ -76,13 +83,16 @@
     auto edge = std::make_unique<Edge>();
     edge->zone = ZoneName("z" + std::to_string(i % zones_));
     edge->id = NodeId("e" + std::to_string(clock_.random()));
-    edge->range = std::make_unique<EndpointSubset>(
-        EndpointSubset::Dependencies{book_, direct_, edge->loads, edge->id, edge->zone, true,
-                                     [this](const ServiceName&) { return most_; }},
-        clock_.random());
+    edge->range = makeSubset(*edge);
     edges_.push_back(std::move(edge));
   }
 
+  std::unique_ptr<EndpointSubset> makeSubset(Edge& edge) {
+    return std::make_unique<EndpointSubset>(
+        book_, direct_, edge.endpoints, limits_,
+        proxy::EndpointSubsetOptions{edge.id, edge.zone, true, clock_.random()});
+  }
+
   void fleet() {
     std::vector<proxy::ProxyNode> all;
     for (const auto& edge : edges_) all.push_back({edge->id, edge->zone});
@@ -141,14 +151,15 @@
     auto& edge = *edges_[0];
     const auto all = list(edge).size();
     for (const auto& id : servers_) {
-      for (int i = 0; i < 5; ++i) edge.loads.onResponse(id, false, clock_.now());
+      for (int i = 0; i < 5; ++i) edge.endpoints.state(id).outliers.onResponse(false, clock_.now());
     }
     const auto left = list(edge).size();
     require(left * 3 + 3 >= all * 2 && left > 0, "too many servers are left alone");
     require(left < all || all < 3, "servers that fail are not left alone");
     out["left"] = static_cast<double>(left) / static_cast<double>(all);
     clock_.runUntil(clock_.ms() + 20000);
-    for (const auto& id : servers_) edge.loads.onResponse(id, true, clock_.now());
+    for (const auto& id : servers_)
+      edge.endpoints.state(id).outliers.onResponse(true, clock_.now());
     require(list(edge).size() == all, "servers that are well again are not taken back");
   }
 
@@ -157,10 +168,7 @@
     addEdge(0);
     auto& edge = *edges_.back();
     edge.zone = ZoneName("elsewhere");
-    edge.range = std::make_unique<EndpointSubset>(
-        EndpointSubset::Dependencies{book_, direct_, edge.loads, edge.id, edge.zone, true,
-                                     [this](const ServiceName&) { return most_; }},
-        clock_.random());
+    edge.range = makeSubset(edge);
     fleet();
     require(list(edge).size() >= 8, "an edge without servers in its zone draws from too few");
   }
@@ -176,9 +184,9 @@
       return -1.0;
     };
     const double before = steady();
-    edge.loads.onRequestStarted(id, clock_.now());
+    edge.endpoints.onRequestStarted(id, clock_.now());
     clock_.runUntil(clock_.ms() + 3000);
-    edge.loads.onRequestEnded(id, clock_.now());
+    edge.endpoints.onRequestEnded(id, clock_.now());
     require(steady() > before + 1, "a server where requests stay is not taken for busier");
     clock_.runUntil(clock_.ms() + 30000);
     require(steady() < before + 0.1, "it is taken for busier for ever");
@@ -188,6 +196,7 @@
   Clock clock_;
   int zones_;
   int most_;
+  FixedLimit limits_{most_};
   ServiceName service_{"svc"};
   proxy::DirectTransport direct_;
   InstanceRegistry book_;
--- a/tests/simulation/proxy_world.cpp
+++ b/tests/simulation/proxy_world.cpp
@@ -7,7 +7,7 @@
 
 #include "proxy/admission_queue.hpp"
 #include "proxy/attempt_planner.hpp"
-#include "proxy/load_tracker.hpp"
+#include "proxy/endpoint_table.hpp"
 #include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
@@ -17,7 +17,7 @@
 using proxy::AttemptPlanner;
 using proxy::Candidate;
 using proxy::DAdaptivePicker;
-using proxy::LoadTracker;
+using proxy::EndpointTable;
 using proxy::PlannedAction;
 using proxy::RetryBudget;
 
@@ -58,7 +58,8 @@
 struct Node {
   std::unique_ptr<DAdaptivePicker> wayfinder;
   std::unique_ptr<RetryBudget> toll;
-  LoadTracker loads;
+  EndpointTable endpoints;
+  std::unique_ptr<proxy::CandidateSource> candidates;
 };
 
 class PathWorld {
@@ -85,6 +86,7 @@
       node->wayfinder = std::make_unique<DAdaptivePicker>(clock_.random());
       node->toll = std::make_unique<RetryBudget>(terms_);
       node->toll->setNodeCount(static_cast<std::size_t>(nodes));
+      node->candidates = std::make_unique<NodeCandidates>(*this, *node);
       nodes_.push_back(std::move(node));
     }
   }
@@ -167,9 +169,8 @@
     terms.maxAttempts = static_cast<int>(number(s_, "max_attempts", 2));
     terms.deadline = request->deadline;
     auto& node = *nodes_[static_cast<std::size_t>(request->node)];
-    request->ascent = std::make_unique<AttemptPlanner>(
-        terms, [this, &node]() -> const std::vector<Candidate>& { return candidates(node); },
-        *node.wayfinder, *node.toll);
+    request->ascent =
+        std::make_unique<AttemptPlanner>(terms, *node.candidates, *node.wayfinder, *node.toll);
     clock_.at(request->deadline, [this, request] {
       if (request->over) return;
       const bool sent = request->turn > 0;
@@ -180,16 +181,29 @@
     carryOut(request, request->ascent->start(clock_.now()));
   }
 
+  // What one node may choose from.
+  class NodeCandidates : public proxy::CandidateSource {
+   public:
+    NodeCandidates(PathWorld& world, Node& node) : world_(world), node_(node) {}
+    const std::vector<Candidate>& candidates(const ServiceName&, bool, TimePoint) override {
+      return world_.candidates(node_);
+    }
+
+   private:
+    PathWorld& world_;
+    Node& node_;
+  };
+
   const std::vector<Candidate>& candidates(Node& node) {
     auto& out = candidates_;
     out.clear();
     for (const auto& host : hosts_) {
       // News of a drain takes a while to get round.
       if (host->drainedAt >= 0 && clock_.ms() - host->drainedAt > number(s_, "news", 50)) continue;
-      const auto& book = node.loads.load(host->id);
-      if (!LoadTracker::isReachable(book, clock_.now())) continue;
-      out.push_back({&host->id, nullptr, LoadTracker::estimatedLoad(book, clock_.now()), 0,
-                     host->gate->slots()});
+      const auto& state = node.endpoints.state(host->id);
+      if (!state.reachability.isReachable(clock_.now())) continue;
+      out.push_back(
+          {&host->id, nullptr, state.load.estimatedLoad(clock_.now()), 0, host->gate->slots()});
     }
     return out;
   }
@@ -207,7 +221,7 @@
     request->out.insert(turn);
     auto& host = hostOf(*step.candidate.id);
     auto& node = *nodes_[static_cast<std::size_t>(request->node)];
-    node.loads.onRequestStarted(host.id, clock_.now());
+    node.endpoints.onRequestStarted(host.id, clock_.now());
     if (lost("unsent")) {
       back(request, turn, host, AttemptOutcome::unreachable, 300);
       return;
@@ -224,7 +238,7 @@
     clock_.after(150, [this, request, turn, &host, &node] {
       if (request->over || !request->out.contains(turn) || request->signed_.contains(turn)) return;
       ++silent_;
-      node.loads.onUnreachable(host.id, clock_.now());
+      node.endpoints.state(host.id).reachability.onUnreachable(clock_.now());
       const auto next = request->ascent->onAttemptSilent(host.id, clock_.now());
       besides_ += next.kind == PlannedAction::Kind::send ? 1 : 0;
       carryOut(request, next);
@@ -303,8 +317,8 @@
       clock_.after(clock_.uniform(0.1, 1.2), [this, request, turn, &host, jobs] {
         auto& node = *nodes_[static_cast<std::size_t>(request->node)];
         if (request->out.erase(turn) == 0) return;
-        node.loads.onRequestEnded(host.id, clock_.now());
-        node.loads.onLoadReported(host.id, jobs, clock_.now());
+        node.endpoints.onRequestEnded(host.id, clock_.now());
+        node.endpoints.state(host.id).load.onLoadReported(jobs, clock_.now());
         if (request->over) return;
         request->over = true;
         served_ += 1;
@@ -336,9 +350,9 @@
     clock_.after(ms, [this, request, turn, &host, outcome] {
       auto& node = *nodes_[static_cast<std::size_t>(request->node)];
       if (request->out.erase(turn) == 0) return;
-      node.loads.onRequestEnded(host.id, clock_.now());
+      node.endpoints.onRequestEnded(host.id, clock_.now());
       if (outcome == AttemptOutcome::unreachable || outcome == AttemptOutcome::unavailable) {
-        node.loads.onUnreachable(host.id, clock_.now());
+        node.endpoints.state(host.id).reachability.onUnreachable(clock_.now());
       }
       if (request->over) return;
       carryOut(request, request->ascent->onAttemptEnded(host.id, outcome, clock_.now()));
