--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -260,7 +260,6 @@
 // The outcome is certain; that may be a rejection.
 void Proposer::succeedWithNextValue() {
   Result result;
-  result.valueKnown = true;
   result.value = nextValue_;
   result.succeeded = decision_.kind != Decision::Kind::reject;
   result.error = decision_.error;
@@ -316,7 +315,10 @@
                 {"accepts", toJson(acceptances_)},
                 {"lives", toJson(incarnations_)}};
   if (phase_ == Phase::accept) state["next"] = nextValue_.uniqueId;
-  if (result_) state["result"] = {result_->succeeded, result_->valueKnown, result_->value.uniqueId};
+  if (result_) {
+    const std::string valueId = result_->value ? result_->value->uniqueId : "";
+    state["result"] = {result_->succeeded, result_->value.has_value(), valueId};
+  }
   return state;
 }
 
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -57,8 +57,9 @@
     bool succeeded = false;
     ErrorKind error = ErrorKind::noQuorum;  ///< where it did not succeed
     std::string detail;                     ///< of a rejection
-    RegisterValue value;                    ///< committed; only where `valueKnown`
-    bool valueKnown = false;                ///< the register was read, or changed
+    /// The committed value that the register now holds. Nothing where too few acceptors answered in
+    /// time: then the change may have been made or not. Set whenever `succeeded`.
+    std::optional<RegisterValue> value;
   };
 
   /// `basis`: the newest committed value that the node knows. `seed` makes the ballots unique, so
--- a/src/control/config_operations.cpp
+++ b/src/control/config_operations.cpp
@@ -35,12 +35,12 @@
 }
 
 void respondToDescribe(const ServerExchange::Ptr& exchange, const Proposer::Result& result) {
-  if (!result.succeeded || !result.valueKnown) {
+  if (!result.succeeded || !result.value) {
     exchange->respondError(ErrorKind::noQuorum);
-  } else if (!result.value.config) {
+  } else if (!result.value->config) {
     exchange->respondError(ErrorKind::noConfiguration);
   } else {
-    respondWithJson(exchange, result.value.config->text());
+    respondWithJson(exchange, result.value->config->text());
   }
 }
 }  // namespace
--- a/src/control/proposal_runner.cpp
+++ b/src/control/proposal_runner.cpp
@@ -136,8 +136,8 @@
   loop_.cancel(proposal->timer);
   const auto onResult = std::exchange(proposal->onResult, nullptr);
   --activeProposals_;
-  if (result.valueKnown) {
-    replica_.learn(result.value);
+  if (result.value) {
+    replica_.learn(*result.value);
     stalenessBound_.onQuorumRead(proposal->startedAt);
   }
   onResult(result);
--- a/src/control/value_repair.cpp
+++ b/src/control/value_repair.cpp
@@ -54,8 +54,7 @@
   runner_.read(timing_.backgroundProposalTimeout(), [this](const Proposer::Result& result) {
     reading_ = false;
     aheadSince_ = loop_.now();
-    if (!result.valueKnown)
-      backoff_ = std::min(kMaxBackoff, backoff_ * 2 + kBackgroundProposalDelay);
+    if (!result.value) backoff_ = std::min(kMaxBackoff, backoff_ * 2 + kBackgroundProposalDelay);
   });
 }
 
--- a/src/control/voter_set_manager.cpp
+++ b/src/control/voter_set_manager.cpp
@@ -88,9 +88,9 @@
 
 void VoterSetManager::onChangeResult(const Proposer::Result& result) {
   proposing_ = false;
-  if (!result.succeeded || !result.valueKnown) return;
-  logger().information("voters: " + std::to_string(result.value.voters.size()) + ", epoch " +
-                       std::to_string(result.value.epoch));
+  if (!result.succeeded || !result.value) return;
+  logger().information("voters: " + std::to_string(result.value->voters.size()) + ", epoch " +
+                       std::to_string(result.value->epoch));
   if (!replica_.committedValue().previousVoters.empty()) proposeChange({});
 }
 
--- a/tests/control/register_service_test.cpp
+++ b/tests/control/register_service_test.cpp
@@ -176,8 +176,8 @@
   EXPECT_EQ(node.service.committedValue().sequence, 0U);
   EXPECT_TRUE(node.service.hasPendingWork());
   const auto result = node.read();
-  ASSERT_TRUE(result.valueKnown);
-  EXPECT_EQ(result.value.config->text(), "one");
+  ASSERT_TRUE(result.value);
+  EXPECT_EQ(result.value->config->text(), "one");
   EXPECT_EQ(node.service.committedValue().sequence, 1U);
 }
 
--- a/tests/simulation/gossip/simulated_register.cpp
+++ b/tests/simulation/gossip/simulated_register.cpp
@@ -52,8 +52,8 @@
   if (const auto& result = proposal->proposer.result()) {
     if (!proposal->onResult) return;
     const auto onResult = std::exchange(proposal->onResult, nullptr);
-    if (result->valueKnown) {
-      fleet_.learn(proposal->node, result->value);
+    if (result->value) {
+      fleet_.learn(proposal->node, *result->value);
       proposal->node.stalenessBound.onQuorumRead(proposal->began);
     }
     onResult(*result);
@@ -122,8 +122,8 @@
       retry();
       return;
     }
-    fleet_.setNewest(result.value.sequence);
-    acknowledgedAtMs_[result.value.sequence] = clock_.ms();
+    fleet_.setNewest(result.value->sequence);
+    acknowledgedAtMs_[result.value->sequence] = clock_.ms();
   });
 }
 
--- a/tests/simulation/register_explorer.cpp
+++ b/tests/simulation/register_explorer.cpp
@@ -359,8 +359,8 @@
       }
       if (!reader.result()) sends = reader.tick(reader.nextWakeUp());
     }
-    if (!reader.result() || !reader.result()->valueKnown) return "healed, but it can't be read";
-    report(state, reader.result()->value);
+    if (!reader.result() || !reader.result()->value) return "healed, but it can't be read";
+    report(state, *reader.result()->value);
     return state.broken;
   }
 
@@ -669,15 +669,15 @@
     std::erase_if(state.wire, [&](const MessagePtr& m) {
       return m->kind == Message::Kind::answer && m->who == who;
     });
-    if (!result.valueKnown) return;
+    if (!result.value) return;
     const auto& task = tasks_[who];
-    report(state, result.value);
-    if (result.value.sequence < p.floor) state.broken = "a later call saw an older value";
+    report(state, *result.value);
+    if (result.value->sequence < p.floor) state.broken = "a later call saw an older value";
     edit(state.nodes[task.node], [&](Node& n) {
-      if (result.value.sequence > n.known.sequence) n.known = result.value;
+      if (result.value->sequence > n.known.sequence) n.known = *result.value;
     });
     if (task.kind == "put" && result.succeeded) {
-      if (!hasMark(result.value, task.mark)) state.broken = "acknowledged, but not in the value";
+      if (!hasMark(*result.value, task.mark)) state.broken = "acknowledged, but not in the value";
       for (std::size_t i = 0; i < tasks_.size(); ++i) {
         if (tasks_[i].kind == "put" && tasks_[i].base == task.base && tasks_[i].mark != task.mark &&
             state.history->acked.contains(tasks_[i].mark)) {
--- a/tests/simulation/register_world.cpp
+++ b/tests/simulation/register_world.cpp
@@ -538,22 +538,22 @@
   void finish(Machine& m, Call& call, const Proposer::Result& result) {
     if (call.ended >= 0) return;
     call.ended = clock_.ms();
-    if (!result.valueKnown) {
+    if (!result.value) {
       call.end = Call::End::unclear;
       if (const auto then = std::exchange(call.then, {})) then();
       return;
     }
-    call.seen = result.value;
+    call.seen = *result.value;
     const bool clear = responseFor(result.error).status < 500;
     call.end = result.succeeded ? Call::End::ok : clear ? Call::End::refused : Call::End::unclear;
-    if (call.read) call.revision = result.value.configRevision.value;
+    if (call.read) call.revision = result.value->configRevision.value;
     if (call.done) clock_.after(0, std::exchange(call.done, {}));
-    if (result.value.sequence > m.known.sequence) m.known = result.value;
+    if (result.value->sequence > m.known.sequence) m.known = *result.value;
     consensus::cacheTexts(m.shelf, m.known);
     m.ahead = -1;
     m.half = -1;
     if (call.end == Call::End::ok) {
-      ackedSequence_ = std::max(ackedSequence_, result.value.sequence);
+      ackedSequence_ = std::max(ackedSequence_, result.value->sequence);
     }
     news(m.known);
     if (call.end == Call::End::ok) newest_ = std::max(newest_, call.revision);
