--- a/tests/consensus/incarnation_test.cpp
+++ b/tests/consensus/incarnation_test.cpp
@@ -28,5 +28,24 @@
   EXPECT_NE(nextIncarnation(firstIncarnation(1), 1), nextIncarnation(firstIncarnation(1), 2));
 }
 
+TEST(Incarnation, IsReplacedByAHigherGenerationOnly) {
+  const Incarnation low = nextIncarnation(Incarnation{}, 1);
+  const Incarnation high = nextIncarnation(Incarnation{}, 2);
+  EXPECT_TRUE(mayReplace(low, low));
+  EXPECT_FALSE(mayReplace(low, high));
+  EXPECT_FALSE(mayReplace(high, low));
+  EXPECT_TRUE(mayReplace(high, nextIncarnation(low, 0)));
+  EXPECT_FALSE(mayReplace(nextIncarnation(low, 0), high));
+}
+
+TEST(Incarnation, IsSupersededByANewerOneOfItsOwnNode) {
+  const NodeId node("n1");
+  const Incarnation older = nextIncarnation(Incarnation{}, 1);
+  const IncarnationMap newest = {{node, nextIncarnation(older, 1)}};
+  EXPECT_TRUE(isSuperseded(newest, node, older));
+  EXPECT_FALSE(isSuperseded(newest, node, newest.at(node)));
+  EXPECT_FALSE(isSuperseded(newest, NodeId("n2"), older));
+}
+
 }  // namespace
 }  // namespace merlingauge::consensus
