--- a/tests/loopback/hostile_input_test.cpp
+++ b/tests/loopback/hostile_input_test.cpp
@@ -422,93 +422,131 @@
   Send send_;
 };
 
-// Two rosters that pull from each other over a wire that spoils half of what it carries.
-void news(std::uint64_t seed, std::size_t& heard, std::size_t& refused) {
-  Clock clock(seed);
+// Two nodes that pull from each other over a network that damages half of what it carries.
+class HostileGossip {
+ public:
+  HostileGossip(std::uint64_t seed, std::size_t& received, std::size_t& rejected)
+      : clock_(seed), received_(received), rejected_(rejected) {
+    for (std::size_t i = 0; i < sides_.size(); ++i) startSide(i, Incarnation{seed + i});
+  }
+
+  void run() {
+    for (int turn = 0; turn < kTurns; ++turn) {
+      for (auto& side : sides_) {
+        membership::Instance instance;
+        instance.id = InstanceId("i" + std::to_string(turn / 10));
+        instance.service = ServiceName("echo");
+        instance.address = "10.0.0.9:80";
+        instance.sequence = static_cast<std::uint64_t>(turn);
+        side.registry->handleHeartbeat(instance, clock_.now());
+        side.registry->expireInstances(clock_.now(), std::chrono::seconds(4),
+                                       std::chrono::seconds(60));
+        side.registry->releaseThrottledUpdates(clock_.now());
+        side.gossip->notifyUpdate();
+        side.gossip->tick();
+      }
+      clock_.runUntil(clock_.ms() + kTurnMs);
+    }
+  }
+
+ private:
+  using ResponseCallback = gossip::Environment::ResponseCallback;
+  using Reply = std::function<void(const std::optional<std::string>&)>;
+  static constexpr int kTurns = 200;
+  static constexpr double kTurnMs = 50;
+  static constexpr double kTimeoutMs = 3000;
+  static constexpr std::size_t kOtherNodes = 20;
   struct Side {
-    explicit Side(const Clock& clock) : replica(clock, evidence) {}
-    consensus::StalenessBound evidence;
+    explicit Side(const Clock& clock) : replica(clock, stalenessBound) {}
+    consensus::StalenessBound stalenessBound;
     FixedReplica replica;
-    std::unique_ptr<membership::InstanceRegistry> book;
+    std::unique_ptr<membership::InstanceRegistry> registry;
     std::unique_ptr<HostileEnvironment> environment;
-    std::unique_ptr<gossip::GossipService> roster;
-  };
-  gossip::GossipObserver observer;
-  std::array<Side, 2> sides = {Side(clock), Side(clock)};
-  const std::vector<NodeId> ids = {NodeId("10.0.0.1"), NodeId("10.0.0.2")};
-  const auto damaged = [&](const std::string& text) {
-    return clock.chance(0.5) ? spoiledJson(text, clock.random) : text;
+    std::unique_ptr<gossip::GossipService> gossip;
   };
-  for (std::size_t i = 0; i < 2; ++i) {
-    auto& side = sides.at(i);
-    side.book = std::make_unique<membership::InstanceRegistry>(
-        membership::NodeInfo{ids[i], ZoneName("z"), i == 0, false, false, 0, Incarnation{}},
-        Incarnation{seed + i});
-    // The first is a core that knows of many, the second a newcomer.
-    for (std::size_t n = 0; i == 0 && n < 20; ++n) {
-      const membership::InstanceRegistry third(
-          {NodeId("10.0.1." + std::to_string(n)), ZoneName("z"), false, false, false, 0,
-           Incarnation{}},
-          Incarnation{seed});
-      side.book->merge(json::parse(third.itemsInRanges(~0U, clock.now())),
-                       third.entriesAbove(membership::VersionVector(third.sourceTable())),
-                       clock.now());
-    }
-    side.replica.value.voters = ids;
+
+  // The first is a control node that knows of many, the second a newcomer.
+  void startSide(std::size_t index, Incarnation incarnation) {
+    auto& side = sides_.at(index);
+    const bool isControlNode = index == 0;
+    side.registry = std::make_unique<membership::InstanceRegistry>(
+        membership::NodeInfo{ids_[index], ZoneName("z"), isControlNode, false, false, 0,
+                             Incarnation{}},
+        incarnation);
+    if (isControlNode) announceOthers(*side.registry, incarnation);
+    side.replica.value.voters = ids_;
     side.replica.value.config = config::ConfigText::create(R"({"revision":1})");
-    const auto send = [&, i](const json& body,
-                             const gossip::Environment::ResponseCallback& answer) {
-      const auto document = json::parse(damaged(body.dump()), nullptr, false);
-      auto told = std::make_shared<bool>(false);
-      const auto tell = [told, answer, &damaged, &clock](const std::optional<std::string>& said) {
-        if (std::exchange(*told, true)) return;
-        auto read =
-            said ? json::parse(damaged(*said), nullptr, false) : json(json::value_t::discarded);
-        // On its own: nobody catches what is thrown here.
-        clock.after(1, [answer, read] {
-          answer(read.is_discarded() ? std::nullopt : std::make_optional(read));
+    side.environment = std::make_unique<HostileEnvironment>(
+        clock_, [this, index](const json& message, const ResponseCallback& onResponse) {
+          send(sides_.at(1 - index), message, onResponse);
         });
-      };
-      clock.after(1, [&, document, tell, i] {
-        try {
-          if (document.is_discarded()) throw std::runtime_error("no JSON");
-          ++heard;
-          sides.at(1 - i).roster->handlePull(document,
-                                             [tell](const std::string& said) { tell(said); });
-        } catch (const std::exception&) {
-          ++refused;
-          tell(std::nullopt);
-        }
-      });
-      clock.after(3000, [tell] { tell(std::nullopt); });
-    };
-    side.environment = std::make_unique<HostileEnvironment>(clock, send);
     gossip::GossipOptions options;
-    options.self = ids[i];
+    options.self = ids_[index];
     options.zone = ZoneName("z");
-    options.seeds = ids;
-    options.isControlNode = i == 0;
+    options.seeds = ids_;
+    options.isControlNode = isControlNode;
     options.fullSyncInterval = std::chrono::milliseconds(30);
-    side.roster = std::make_unique<gossip::GossipService>(
-        gossip::GossipDependencies{*side.environment, *side.book, side.replica, side.evidence},
-        std::move(options), observer);
+    side.gossip = std::make_unique<gossip::GossipService>(
+        gossip::GossipDependencies{*side.environment, *side.registry, side.replica,
+                                   side.stalenessBound},
+        std::move(options), observer_);
   }
-  for (int turn = 0; turn < 200; ++turn) {
-    for (auto& side : sides) {
-      membership::Instance server;
-      server.id = InstanceId("i" + std::to_string(turn / 10));
-      server.service = ServiceName("echo");
-      server.address = "10.0.0.9:80";
-      server.sequence = static_cast<std::uint64_t>(turn);
-      side.book->handleHeartbeat(server, clock.now());
-      side.book->expireInstances(clock.now(), std::chrono::seconds(4), std::chrono::seconds(60));
-      side.book->releaseThrottledUpdates(clock.now());
-      side.roster->notifyUpdate();
-      side.roster->tick();
+
+  void announceOthers(membership::InstanceRegistry& registry, Incarnation incarnation) {
+    for (std::size_t i = 0; i < kOtherNodes; ++i) {
+      const membership::InstanceRegistry other(
+          {NodeId("10.0.1." + std::to_string(i)), ZoneName("z"), false, false, false, 0,
+           Incarnation{}},
+          incarnation);
+      registry.merge(json::parse(other.itemsInRanges(~0U, clock_.now())),
+                     other.entriesAbove(membership::VersionVector(other.sourceTable())),
+                     clock_.now());
     }
-    clock.runUntil(clock.ms() + 50);
   }
-}
+
+  std::string damaged(const std::string& text) {
+    return clock_.chance(0.5) ? spoiledJson(text, clock_.random) : text;
+  }
+
+  void send(Side& recipient, const json& message, const ResponseCallback& onResponse) {
+    const auto arrived = json::parse(damaged(message.dump()), nullptr, false);
+    const auto reply = replyTo(onResponse);
+    clock_.after(1, [this, &recipient, arrived, reply] { deliver(recipient, arrived, reply); });
+    clock_.after(kTimeoutMs, [reply] { reply(std::nullopt); });
+  }
+
+  // Only the first of several replies counts: the response or the time-out.
+  Reply replyTo(const ResponseCallback& onResponse) {
+    return [this, onResponse,
+            replied = std::make_shared<bool>(false)](const std::optional<std::string>& text) {
+      if (std::exchange(*replied, true)) return;
+      auto response =
+          text ? json::parse(damaged(*text), nullptr, false) : json(json::value_t::discarded);
+      // On its own: nobody catches what is thrown here.
+      clock_.after(1, [onResponse, response] {
+        onResponse(response.is_discarded() ? std::nullopt : std::make_optional(response));
+      });
+    };
+  }
+
+  void deliver(Side& recipient, const json& message, const Reply& reply) {
+    try {
+      if (message.is_discarded()) throw std::runtime_error("no JSON");
+      ++received_;
+      recipient.gossip->handlePull(message, [reply](const std::string& text) { reply(text); });
+    } catch (const std::exception&) {
+      ++rejected_;
+      reply(std::nullopt);
+    }
+  }
+
+  Clock clock_;
+  std::size_t& received_;
+  std::size_t& rejected_;
+  const std::vector<NodeId> ids_ = {NodeId("10.0.0.1"), NodeId("10.0.0.2")};
+  gossip::GossipObserver observer_;
+  std::array<Side, 2> sides_ = {Side(clock_), Side(clock_)};
+};
 
 // The register's messages, through the parsers and the state machine behind them.
 void registers(std::uint64_t seed, std::size_t& heard, std::size_t& refused) {
@@ -580,7 +618,7 @@
   std::size_t heard = 0;
   std::size_t refused = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    news(seed, heard, refused);
+    HostileGossip(seed, heard, refused).run();
     registers(seed, heard, refused);
   }
   // A few kilobytes that stand for more than any configuration.
