--- a/src/membership/dot_index.hpp
+++ b/src/membership/dot_index.hpp
@@ -42,16 +42,16 @@
   void forgetIdleSources(TimePoint now);
 
   [[nodiscard]] bool hasNewerThan(const VersionVector& seen) const;
-  /// Calls `visit(const ItemKey&)` for each item whose update `seen` does not cover.
-  template <class Visit>
-  void forEachNewerThan(const VersionVector& seen, Visit visit) const {
+  /// Calls `callback(const ItemKey&)` for each item whose update `seen` does not cover.
+  template <class Callback>
+  void forEachNewerThan(const VersionVector& seen, Callback callback) const {
     seen.forEachNewer(
         versionVector_, [&](const SourceId& source, std::uint64_t, std::uint64_t seenCounter) {
           const auto stream = streams_.find(source);
           if (stream == streams_.end()) return;
           const auto& items = stream->second.items;
           for (auto item = items.upper_bound(seenCounter); item != items.end(); ++item) {
-            visit(item->second);
+            callback(item->second);
           }
         });
   }
--- a/src/membership/instance.hpp
+++ b/src/membership/instance.hpp
@@ -28,8 +28,8 @@
   /// Orders the changes that the reporter makes between two heartbeats; 0 with a new heartbeat.
   std::uint32_t reporterEdit = 0;
   bool warmingUp = false;
-  /// Its heartbeats have stopped. Beats the same sequence and edit without this mark (SWIM: suspect
-  /// overrides alive of the same incarnation); the next heartbeat clears it.
+  /// Its heartbeats have stopped. Overrides the same sequence and edit without this mark (SWIM:
+  /// suspect overrides alive of the same incarnation); the next heartbeat clears it.
   bool unresponsive = false;
   int failingTenths = 0;  ///< tenths of its responses that fail, as its reporter sees them, 0 to 10
   NodeId reporter;        ///< the node that receives its heartbeats
--- a/src/membership/instance_expiry.cpp
+++ b/src/membership/instance_expiry.cpp
@@ -13,12 +13,12 @@
   if (!heartbeats_.contains(id)) expected_.try_emplace(id, now);
 }
 
-InstanceExpiry::Verdict InstanceExpiry::judgeSilence(const InstanceId& id, Duration silence,
+InstanceExpiry::Verdict InstanceExpiry::judgeTimeout(const InstanceId& id, Duration sinceHeartbeat,
                                                      Duration forgetAfter) const {
   const auto* item = instances_.find(id);
   if (item == nullptr || item->instance.reporter != self_) return Verdict::stopWatching;
   if (!item->instance.isClosed()) return Verdict::markUnresponsive;
-  return silence > forgetAfter ? Verdict::stopWatching : Verdict::keepWatching;
+  return sinceHeartbeat > forgetAfter ? Verdict::stopWatching : Verdict::keepWatching;
 }
 
 bool InstanceExpiry::isOpenAndReportedHere(const InstanceId& id) const {
@@ -30,10 +30,10 @@
   std::vector<InstanceId> timedOut;
   std::erase_if(heartbeats_, [&](const auto& entry) {
     const auto& [id, last] = entry;
-    const Duration silence = now - last.at;
-    if (silence <= limits.heartbeatTimeout) return false;
+    const Duration sinceHeartbeat = now - last.at;
+    if (sinceHeartbeat <= limits.heartbeatTimeout) return false;
     throttle_.drop(id);
-    const auto verdict = judgeSilence(id, silence, limits.forgetAfter);
+    const auto verdict = judgeTimeout(id, sinceHeartbeat, limits.forgetAfter);
     if (verdict == Verdict::markUnresponsive) timedOut.push_back(id);
     return verdict == Verdict::stopWatching;
   });
--- a/src/membership/instance_expiry.hpp
+++ b/src/membership/instance_expiry.hpp
@@ -1,4 +1,4 @@
-// instance_expiry: which instances have fallen silent, by their heartbeats or by their reporter.
+// instance_expiry: which instances to give up, by their heartbeats or by their reporter.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +42,7 @@
 
   /// The open instances of this reporter whose heartbeats have stopped. Stops to watch those that
   /// are another reporter's by now, or that closed long ago, and drops the deferred updates of all
-  /// that are silent.
+  /// whose heartbeats have stopped.
   std::vector<InstanceId> takeTimedOut(TimePoint now, const ExpiryLimits& limits);
   /// The open instances whose reporter has been down for longer than `heartbeatTimeout`: were they
   /// alive, their heartbeats would go to another node by now. Only those that `isMine` accepts.
@@ -57,9 +57,9 @@
     TimePoint at;
     std::uint64_t sequence = 0;  // only rises
   };
-  /// What follows from an instance's silence.
+  /// What follows for an instance whose heartbeats have stopped.
   enum class Verdict : std::uint8_t { stopWatching, keepWatching, markUnresponsive };
-  [[nodiscard]] Verdict judgeSilence(const InstanceId& id, Duration silence,
+  [[nodiscard]] Verdict judgeTimeout(const InstanceId& id, Duration sinceHeartbeat,
                                      Duration forgetAfter) const;
   [[nodiscard]] bool isOpenAndReportedHere(const InstanceId& id) const;
 
--- a/src/membership/instance_registry.cpp
+++ b/src/membership/instance_registry.cpp
@@ -282,7 +282,7 @@
   if (const auto* item = instances_.find(instance.id)) {
     const auto& held = item->instance;
     if (precedenceOf(instance) <= precedenceOf(held)) return false;
-    // A node that was told only of the end of an instance does not know its service.
+    // A node that learnt only of the end of an instance does not know its service.
     if (instance.service.empty()) {
       instance.service = held.service;
       instance.address = held.address;
--- a/src/membership/instance_registry.hpp
+++ b/src/membership/instance_registry.hpp
@@ -43,7 +43,7 @@
   InstanceRegistry(NodeInfo self, Incarnation incarnation);
 
   enum class HeartbeatResult : std::uint8_t {
-    changed,    ///< peers are to be told
+    changed,    ///< peers are to be notified
     unchanged,  ///< known already, or deferred
     stale       ///< overtaken by a later state of the same instance
   };
--- a/src/membership/version_vector.hpp
+++ b/src/membership/version_vector.hpp
@@ -40,15 +40,15 @@
   [[nodiscard]] std::uint64_t counterOf(const SourceId& source) const;
   [[nodiscard]] bool covers(const Dot& dot) const { return counterOf(dot.source) >= dot.counter; }
 
-  /// Calls `visit(source, counter of ahead, counter of this)` for each entry of `ahead` that is
+  /// Calls `callback(source, counter of ahead, counter of this)` for each entry of `ahead` that is
   /// above this vector's.
-  template <class Visit>
-  void forEachNewer(const VersionVector& ahead, Visit visit) const {
+  template <class Callback>
+  void forEachNewer(const VersionVector& ahead, Callback callback) const {
     if (hash_ == ahead.hash_) return;
     for (std::size_t number = 0; number < ahead.counters_.size(); ++number) {
       const std::uint64_t own = number < counters_.size() ? counters_[number] : 0;
       const std::uint64_t other = ahead.counters_[number];
-      if (own < other) visit(sources_->sourceAt(number), other, own);
+      if (own < other) callback(sources_->sourceAt(number), other, own);
     }
   }
   /// The sources with an entry here and none in `other`.
