--- a/src/cli/control_client.cpp
+++ b/src/cli/control_client.cpp
@@ -13,8 +13,8 @@
 namespace merlingauge::cli {
 
 namespace {
-// A node answers a change within 4 seconds, with 503 if no quorum is reached. This is twice that
-// and a margin for a slow machine.
+// A node answers a change within a second, with 503 where it reaches no quorum; the rest is for a
+// slow machine and a large configuration.
 const Poco::Timespan kResponseTimeout(10, 0);
 
 bool hasPort(const std::string& address) {
--- a/src/node/failure_detector.cpp
+++ b/src/node/failure_detector.cpp
@@ -7,8 +7,8 @@
 namespace merlingauge::node {
 
 namespace {
-// Heartbeat intervals without a heartbeat after which an instance counts as unresponsive: two lost
-// ones are borne, and a little delay of the third.
+// Heartbeat intervals without a heartbeat after which an instance counts as unresponsive: one lost
+// heartbeat is borne, and a delay of the next by 0.6 intervals.
 constexpr double kMissedHeartbeats = 2.6;
 // How long instances and nodes that are gone are remembered, so that late gossip can't revive them.
 constexpr Duration kRememberGone = std::chrono::seconds(60);
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -7,7 +7,7 @@
 namespace merlingauge::node {
 
 namespace {
-// Callers learn by readiness checks of 1 s or by gossip that this node leaves; by then they have.
+// By then callers (readiness) and other nodes (gossip) have noticed that this node shuts down.
 constexpr Duration kAcceptWhileDraining = std::chrono::milliseconds(2300);
 // Left of the grace period for the exit itself.
 constexpr Duration kExitMargin = std::chrono::milliseconds(400);
--- a/src/node/listeners.cpp
+++ b/src/node/listeners.cpp
@@ -13,8 +13,8 @@
 using Poco::Net::SocketAddress;
 
 namespace {
-// Descriptors that are not for accepted connections: upstream connections' floor, listeners, the
-// store's files, the event loop's own.
+// Descriptors that accepted connections must not use up: those of listeners, store, event loop and
+// connections to other nodes.
 constexpr int kReservedDescriptors = 264;
 constexpr int kMinConnectionBudget = 64;
 // Readiness is asked by a balancer or two.
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,16 +19,15 @@
 // What is remembered of the load of endpoints not used any more is dropped this often.
 constexpr Duration kLoadExpiryInterval = std::chrono::seconds(10);
 
-// Connections to other nodes and to servers. A connection attempt that takes longer than this is
-// not worth waiting for within a request's deadline; a server's own backlog may be a little slower
-// than a node's.
+// A connection that takes longer than this to come up is given up, so that the request can go
+// elsewhere within its deadline.
 constexpr Duration kPeerConnectTimeout = std::chrono::milliseconds(300);
 constexpr Duration kServerConnectTimeout = std::chrono::milliseconds(400);
 constexpr Duration kIdleKeptFor = std::chrono::seconds(20);
 constexpr int kIdleKeptPerAddress = 64;
-// An edge connects to servers it doesn't run beside: fewer idle connections, closed before the
-// servers' own usual idle time-out of 10 s, and ended when the server's machine is gone, that is
-// when its kernel has acknowledged nothing for this long.
+// An edge connects to the servers themselves, which are many: fewer idle connections, kept for less
+// long, and ended when the server's machine is gone, that is when its kernel has acknowledged
+// nothing for kMachineGoneAfter.
 constexpr Duration kEdgeIdleKeptFor = std::chrono::seconds(9);
 constexpr int kEdgeIdleKeptPerAddress = 8;
 constexpr std::chrono::milliseconds kMachineGoneAfter{700};
@@ -43,7 +42,7 @@
 constexpr Duration kFirstStartDelay = std::chrono::milliseconds(500);
 constexpr Duration kFirstStartSpread = std::chrono::milliseconds(1000);
 
-// The store gets this part of the disk, within limits: the rest is for copies while it is written.
+// The store's file may grow to this part of the disk, within limits.
 constexpr int kStoreDiskPart = 4;
 constexpr int kMinStoreMb = 8;
 constexpr int kMaxStoreMb = 64;
--- a/src/node/settings.hpp
+++ b/src/node/settings.hpp
@@ -48,7 +48,8 @@
   std::size_t faultTolerance = 1;
   /// policy_terms.timing_bounds.retry_budget_ratio: retries allowed per request.
   double retryBudgetRatio = 0.2;
-  /// policy_terms.timing_bounds.retry_budget_slack: retries a second allowed beyond the ratio.
+  /// policy_terms.timing_bounds.retry_budget_slack: retries allowed in each window beyond the
+  /// ratio, over all nodes together.
   double retryBudgetSlack = 0;
   /// policy_terms.timing_bounds.retry_window_s: over which the retry budget is counted.
   Duration retryWindow = std::chrono::seconds(10);
