--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -107,12 +107,11 @@
   return {std::move(reply), granted};
 }
 
-// False where the incarnation is superseded. A first one is below all others and nothing to
-// remember.
-bool Acceptor::learnIncarnation(const NodeId& node, Incarnation incarnation) {
-  if (isSuperseded(state_.incarnations, node, incarnation)) return false;
-  if (!isFirstGeneration(incarnation)) state_.incarnations[node] = incarnation;
-  return true;
+// A first incarnation is below all others and nothing to remember.
+void Acceptor::learnIncarnation(const NodeId& node, Incarnation incarnation) {
+  if (isFirstGeneration(incarnation)) return;
+  if (!isSuperseded(state_.incarnations, node, incarnation))
+    state_.incarnations[node] = incarnation;
 }
 
 // Of nodes that do not vote nothing is needed: messages that name them as voters are of an older
--- a/src/consensus/acceptor.hpp
+++ b/src/consensus/acceptor.hpp
@@ -50,7 +50,7 @@
   Response handleAccept(const RegisterRequest& request);
   Response handleRejoin(const RegisterRequest& request);
   [[nodiscard]] RegisterReply makeReply(bool granted) const;
-  bool learnIncarnation(const NodeId& node, Incarnation incarnation);
+  void learnIncarnation(const NodeId& node, Incarnation incarnation);
   void forgetIncarnations(const NodeId& except);
   void raiseIncarnation(Incarnation known);
   void dropSupersededRejoinReplies();
