--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -14,7 +14,8 @@
 std::string findProblem(const std::string& text) {
   const auto document = nlohmann::json::parse(text, nullptr, false);
   if (document.is_object() && document.contains("route_rules")) {
-    return config::RouteTable::parse(document).error;
+    const auto parsed = config::RouteTable::parse(document);
+    return parsed.error ? parsed.error->message() : "";
   }
   const auto parsed = node::parseSettings(text);
   const auto* error = std::get_if<node::SettingsError>(&parsed);
--- a/src/config/config_schema.hpp
+++ b/src/config/config_schema.hpp
@@ -1,21 +1,23 @@
-// schema: JSON documents checked against the schemas of this system, by valijson.
+// config_schema: documents from outside checked against the JSON schemas of this system.
 #pragma once
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
-#include <string>
-#include <string_view>
 
-namespace merlingauge::config {
+#include "config/document_error.hpp"
 
-enum class SchemaKind : std::uint8_t { settings, configuration, update, heartbeat };
+namespace merlingauge::config {
 
-// A document from outside. Nothing where the text is no JSON, or nests deeper than any document of
-// ours does: copying and writing one go down a level of the stack with each of its own.
-std::optional<nlohmann::json> parseDocument(std::string_view text);
+enum class SchemaKind : std::uint8_t {
+  settings,       ///< a node's settings file
+  configuration,  ///< a whole configuration (Configuration.Replace)
+  update,         ///< a change of some of its items (Configuration.Update)
+  heartbeat,      ///< what a server instance reports of itself
+};
 
-// Empty if the document fits; else the first thing that is wrong, naming the field.
-std::string schemaViolation(SchemaKind kind, const nlohmann::json& document);
+/// The first violation of the schema; none where the document fits. Event-loop thread only: each
+/// schema is compiled when it is first asked for, and kept.
+std::optional<DocumentError> schemaViolation(SchemaKind kind, const nlohmann::json& document);
 
 }  // namespace merlingauge::config
--- a/src/consensus/message_codec.hpp
+++ b/src/consensus/message_codec.hpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "config/config_text.hpp"
+#include "config/config_text_cache.hpp"
 #include "consensus/messages.hpp"
 #include "consensus/value_codec.hpp"
 
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -16,6 +16,7 @@
 #include "base/time.hpp"
 #include "config/change_history.hpp"
 #include "config/config_text.hpp"
+#include "config/config_text_cache.hpp"
 #include "consensus/ballot.hpp"
 #include "consensus/messages.hpp"
 
--- a/src/consensus/register_value.hpp
+++ b/src/consensus/register_value.hpp
@@ -10,6 +10,7 @@
 #include "base/time.hpp"
 #include "config/change_history.hpp"
 #include "config/config_text.hpp"
+#include "config/config_text_cache.hpp"
 
 namespace merlingauge::consensus {
 
--- a/src/consensus/value_codec.cpp
+++ b/src/consensus/value_codec.cpp
@@ -119,8 +119,8 @@
   const auto entries = requiredField<std::string>(encoded, history_keys::kEntries);
   try {
     return ChangeHistory::unpack(floor, seed, entries);
-  } catch (const std::out_of_range& problem) {
-    throw DecodeError(history_keys::kEntries, problem.what());
+  } catch (const DecodeError& error) {
+    throw DecodeError(history_keys::kEntries, error.reason());
   }
 }
 
@@ -132,8 +132,8 @@
   const auto entries = requiredField<std::string>(encoded, history_keys::kEntries);
   try {
     return base->appendPacked(entries, floor, id);
-  } catch (const std::out_of_range& problem) {
-    throw DecodeError(history_keys::kEntries, problem.what());
+  } catch (const DecodeError& error) {
+    throw DecodeError(history_keys::kEntries, error.reason());
   }
 }
 
--- a/src/consensus/value_codec.hpp
+++ b/src/consensus/value_codec.hpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "config/config_text.hpp"
+#include "config/config_text_cache.hpp"
 #include "consensus/ballot.hpp"
 #include "consensus/register_value.hpp"
 
--- a/src/control/acceptor_host.hpp
+++ b/src/control/acceptor_host.hpp
@@ -7,7 +7,7 @@
 
 #include "base/ids.hpp"
 #include "base/time.hpp"
-#include "config/config_text.hpp"
+#include "config/config_text_cache.hpp"
 #include "consensus/acceptor.hpp"
 #include "consensus/messages.hpp"
 #include "consensus/staleness_bound.hpp"
--- a/src/control/acceptor_recovery.hpp
+++ b/src/control/acceptor_recovery.hpp
@@ -7,6 +7,7 @@
 #include "base/ids.hpp"
 #include "base/time.hpp"
 #include "config/config_text.hpp"
+#include "config/config_text_cache.hpp"
 #include "consensus/register_replica.hpp"
 #include "control/acceptor_host.hpp"
 #include "event/event_loop.hpp"
--- a/src/control/config_change.cpp
+++ b/src/control/config_change.cpp
@@ -5,6 +5,7 @@
 #include <optional>
 #include <utility>
 
+#include "config/config_update.hpp"
 #include "config/route_table.hpp"
 
 namespace merlingauge::control {
@@ -58,10 +59,10 @@
   if (change.kind == ConfigChange::Kind::replace) return change.text;
   if (!current.config) return invalidConfig("there is no configuration to change");
   const auto updated = config::applyUpdate(json::parse(current.config->text()), *change.document);
-  if (!updated.error.empty()) return invalidConfig(updated.error);
+  if (updated.error) return invalidConfig(updated.error->message());
   // Each item has passed the schema; the rules between the items are still to be checked.
-  const auto parsed = config::RouteTable::parse(updated.config, false);
-  if (!parsed.table) return invalidConfig(parsed.error);
+  const auto parsed = config::RouteTable::parseValidated(updated.config);
+  if (parsed.error) return invalidConfig(parsed.error->message());
   return ConfigText::create(updated.config.dump());
 }
 }  // namespace
--- a/src/control/control_requests.cpp
+++ b/src/control/control_requests.cpp
@@ -9,6 +9,7 @@
 #include "base/decode_error.hpp"
 #include "base/json_fields.hpp"
 #include "config/config_schema.hpp"
+#include "config/document_parser.hpp"
 #include "config/route_table.hpp"
 
 namespace merlingauge::control {
@@ -59,7 +60,7 @@
   const auto document = config::parseDocument(body);
   if (!document) return RequestError{ErrorKind::invalidJson, ""};
   auto violation = config::schemaViolation(config::SchemaKind::heartbeat, *document);
-  if (!violation.empty()) return RequestError{ErrorKind::invalidJson, std::move(violation)};
+  if (violation) return RequestError{ErrorKind::invalidJson, violation->message()};
   try {
     return decodeHeartbeat(instanceId, *document);
   } catch (const DecodeError& error) {
@@ -86,9 +87,11 @@
 }
 
 std::string findViolation(const ConfigChange& change) {
-  return change.kind == ConfigChange::Kind::replace
-             ? config::RouteTable::parse(*change.document).error
-             : config::schemaViolation(config::SchemaKind::update, *change.document);
+  const auto violation =
+      change.kind == ConfigChange::Kind::replace
+          ? config::RouteTable::parse(*change.document).error
+          : config::schemaViolation(config::SchemaKind::update, *change.document);
+  return violation ? violation->message() : "";
 }
 
 }  // namespace merlingauge::control
--- a/src/control/register_service.hpp
+++ b/src/control/register_service.hpp
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "base/time.hpp"
-#include "config/config_text.hpp"
+#include "config/config_text_cache.hpp"
 #include "consensus/messages.hpp"
 #include "consensus/proposer.hpp"
 #include "consensus/register_replica.hpp"
--- a/src/node/config_applier.cpp
+++ b/src/node/config_applier.cpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "config/config_schema.hpp"
+#include "config/document_parser.hpp"
 
 namespace merlingauge::node {
 
@@ -14,8 +14,8 @@
 // Without the schema: the document has passed it on the node that proposed it.
 config::RouteTable::ParseResult parseCommitted(const std::string& text) {
   const auto document = config::parseDocument(text);
-  if (!document) return {nullptr, "not a JSON document"};
-  return config::RouteTable::parse(*document, false);
+  if (!document) return {nullptr, config::DocumentError{"document", "not JSON"}};
+  return config::RouteTable::parseValidated(*document);
 }
 }  // namespace
 
@@ -31,7 +31,7 @@
   if (!isNewer(value)) return false;
   const auto parsed = parseCommitted(value.config->text());
   if (!parsed.table) {
-    logger().error("a committed configuration can't be read: " + parsed.error);
+    logger().error("a committed configuration can't be read: " + parsed.error->message());
     return false;
   }
   routeTable_ = parsed.table;
--- a/src/node/peer_endpoint.cpp
+++ b/src/node/peer_endpoint.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "base/decode_error.hpp"
-#include "config/config_schema.hpp"
+#include "config/document_parser.hpp"
 #include "consensus/message_codec.hpp"
 #include "control/register_rpc.hpp"
 #include "gossip/wire_keys.hpp"
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -26,13 +26,10 @@
   return document;
 }
 
-// The schema's own message is "FIELD: REASON".
 Problem checkSchema(const json& document) {
   const auto violation = config::schemaViolation(config::SchemaKind::settings, document);
-  if (violation.empty()) return std::nullopt;
-  const auto colon = violation.find(": ");
-  if (colon == std::string::npos) return SettingsError{"", violation};
-  return SettingsError{violation.substr(0, colon), violation.substr(colon + 2)};
+  if (!violation) return std::nullopt;
+  return SettingsError{violation->field, violation->reason};
 }
 
 void readLimits(const json& limits, Settings& settings) {
--- a/src/rpc/peer_rpc.cpp
+++ b/src/rpc/peer_rpc.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <utility>
 
-#include "config/config_schema.hpp"
+#include "config/document_parser.hpp"
 #include "http/message_headers.hpp"
 
 namespace merlingauge::rpc {
