--- a/tests/simulation/endpoint_subset_world.cpp
+++ b/tests/simulation/endpoint_subset_world.cpp
@@ -19,50 +19,53 @@
 
 struct Edge {
   proxy::EndpointTable endpoints;
-  std::unique_ptr<EndpointSubset> range;
+  std::unique_ptr<EndpointSubset> subset;
   ZoneName zone;
   NodeId id;
 };
 
-struct FixedLimit : proxy::ConnectionLimitSource {
-  explicit FixedLimit(int most) : most_(most) {}
-  [[nodiscard]] int maxConnections(const ServiceName&) const override { return most_; }
-  int most_;
+class FixedLimit : public proxy::ConnectionLimitSource {
+ public:
+  explicit FixedLimit(int maxConnections) : maxConnections_(maxConnections) {}
+  [[nodiscard]] int maxConnections(const ServiceName&) const override { return maxConnections_; }
+
+ private:
+  int maxConnections_;
 };
 
-class RangeWorld {
+class SubsetWorld {
  public:
-  RangeWorld(const Scenario& scenario, std::uint64_t seed)
-      : s_(scenario),
+  SubsetWorld(const Scenario& scenario, std::uint64_t seed)
+      : scenario_(scenario),
         clock_(seed),
-        zones_(static_cast<int>(number(s_, "zones", 3))),
-        most_(static_cast<int>(number(s_, "max_connections", 60))),
-        book_({NodeId("c"), ZoneName("z0"), true, false, false, 0, Incarnation{}}, Incarnation{1}) {
-  }
+        zones_(static_cast<int>(number(scenario_, "zones", 3))),
+        maxConnections_(static_cast<int>(number(scenario_, "max_connections", 60))),
+        registry_({NodeId("c"), ZoneName("z0"), true, false, false, 0, Incarnation{}},
+                  Incarnation{1}) {}
 
   void play(std::map<std::string, double>& out) {
-    const int servers = static_cast<int>(number(s_, "servers", 140));
-    const int edges = static_cast<int>(number(s_, "edges", 75));
+    const int servers = static_cast<int>(number(scenario_, "servers", 140));
+    const int edges = static_cast<int>(number(scenario_, "edges", 75));
     for (int i = 0; i < servers; ++i) addServer(i);
     for (int i = 0; i < edges; ++i) addEdge(i);
-    fleet();
+    announceNodes();
     measure(out);
     const auto before = held();
     addServer(servers);
     addEdge(edges);
-    fleet();
+    announceNodes();
     measure(out);
     // One edge and one server more: nobody but a few changes anything.
     std::size_t moved = 0;
     const auto after = held();
     for (const auto& pair : before) moved += after.contains(pair) ? 0 : 1;
     out["moved"] = static_cast<double>(moved) / static_cast<double>(before.size());
-    ill(out);
-    slow();
-    alone();
+    ejectFailing(out);
+    countSlowAsBusier();
+    addNodeWithoutNearInstances();
     // The edges shrink to a few: they still find servers.
     edges_.resize(2);
-    fleet();
+    announceNodes();
     for (auto& edge : edges_) require(!list(*edge).empty(), "an edge has nobody to draw from");
   }
 
@@ -75,7 +78,7 @@
     server.zone = ZoneName("z" + std::to_string(i % zones_));
     server.capacity = 4;
     server.sequence = 1;
-    book_.handleHeartbeat(server, clock_.now());
+    registry_.handleHeartbeat(server, clock_.now());
     servers_.push_back(server.id);
   }
 
@@ -83,24 +86,24 @@
     auto edge = std::make_unique<Edge>();
     edge->zone = ZoneName("z" + std::to_string(i % zones_));
     edge->id = NodeId("e" + std::to_string(clock_.random()));
-    edge->range = makeSubset(*edge);
+    edge->subset = makeSubset(*edge);
     edges_.push_back(std::move(edge));
   }
 
   std::unique_ptr<EndpointSubset> makeSubset(Edge& edge) {
     return std::make_unique<EndpointSubset>(
-        book_, direct_, edge.endpoints, limits_,
+        registry_, transport_, edge.endpoints, limits_,
         proxy::EndpointSubsetOptions{edge.id, edge.zone, true, clock_.random()});
   }
 
-  void fleet() {
+  void announceNodes() {
     std::vector<proxy::ProxyNode> all;
     for (const auto& edge : edges_) all.push_back({edge->id, edge->zone});
-    for (const auto& edge : edges_) edge->range->setNodes(all);
+    for (const auto& edge : edges_) edge->subset->setNodes(all);
   }
 
   const std::vector<proxy::Candidate>& list(Edge& edge) {
-    return edge.range->candidates(service_, false, clock_.now());
+    return edge.subset->candidates(service_, false, clock_.now());
   }
 
   std::set<std::pair<std::size_t, InstanceId>> held() {
@@ -118,7 +121,7 @@
     double least = 1e9;
     for (auto& edge : edges_) {
       const auto& open = list(*edge);
-      const int each = edge->range->views(clock_.now()).at(service_).connections;
+      const int each = edge->subset->views(clock_.now()).at(service_).connections;
       require(each >= 1, "an edge may hold no connection");
       least = std::min(least, static_cast<double>(open.size()));
       for (const auto& candidate : open) {
@@ -134,7 +137,7 @@
     double most = 0;
     for (const auto& [id, n] : connections) busiest = std::max(busiest, n);
     for (const auto& [id, n] : holders) most = std::max(most, n);
-    require(busiest <= most_,
+    require(busiest <= maxConnections_,
             "a server may get more connections than it takes: " + std::to_string(busiest));
     double heaviest = 0;
     for (const auto& [id, n] : load) heaviest = std::max(heaviest, n);
@@ -147,7 +150,7 @@
   }
 
   // However many answers fail, only a bounded part is left alone, and trials bring servers back.
-  void ill(std::map<std::string, double>& out) {
+  void ejectFailing(std::map<std::string, double>& out) {
     auto& edge = *edges_[0];
     const auto all = list(edge).size();
     for (const auto& id : servers_) {
@@ -164,17 +167,17 @@
   }
 
   // An edge of a zone without servers takes those of the others.
-  void alone() {
+  void addNodeWithoutNearInstances() {
     addEdge(0);
     auto& edge = *edges_.back();
     edge.zone = ZoneName("elsewhere");
-    edge.range = makeSubset(edge);
-    fleet();
+    edge.subset = makeSubset(edge);
+    announceNodes();
     require(list(edge).size() >= 8, "an edge without servers in its zone draws from too few");
   }
 
   // Where an edge's requests stay for long, others' do too: it counts as busier, for a while.
-  void slow() {
+  void countSlowAsBusier() {
     auto& edge = *edges_[0];
     const auto id = *list(edge).front().id;
     const auto steady = [&] {
@@ -192,14 +195,14 @@
     require(steady() < before + 0.1, "it is taken for busier for ever");
   }
 
-  const Scenario& s_;
+  const Scenario& scenario_;
   Clock clock_;
   int zones_;
-  int most_;
-  FixedLimit limits_{most_};
+  int maxConnections_;
+  FixedLimit limits_{maxConnections_};
   ServiceName service_{"svc"};
-  proxy::DirectTransport direct_;
-  InstanceRegistry book_;
+  proxy::DirectTransport transport_;
+  InstanceRegistry registry_;
   std::vector<InstanceId> servers_;
   std::vector<std::unique_ptr<Edge>> edges_;
 };
@@ -207,7 +210,7 @@
 }  // namespace
 
 void playRange(const Scenario& scenario, std::uint64_t seed, std::map<std::string, double>& out) {
-  RangeWorld(scenario, seed).play(out);
+  SubsetWorld(scenario, seed).play(out);
 }
 
 }  // namespace merlingauge::test
--- a/tests/simulation/proxy_world.cpp
+++ b/tests/simulation/proxy_world.cpp
@@ -1,5 +1,5 @@
-// The path of a request: many egresses choosing among a few servers, each behind its turnstile,
-// with a loss at any step. Watches what the rules promise.
+// The path of a request: many egresses choosing among a few instances, each behind its queue,
+// with a loss at any action. Watches what the rules promise.
 #include <algorithm>
 #include <cmath>
 #include <memory>
@@ -27,16 +27,16 @@
   int number = 0;
   int node = 0;
   bool idempotent = false;
-  int rank = 0;
+  int priority = 0;
   double began = 0;
   TimePoint deadline;
-  std::unique_ptr<AttemptPlanner> ascent;
+  std::unique_ptr<AttemptPlanner> planner;
   int runs = 0;
   bool over = false;
   int turn = 0;
-  std::set<int> out;      // tries that are out; answers to others are nobody's
-  std::set<int> signed_;  // of which their nodes have said that they have them
-  int working = 0;        // servers at work on it
+  std::set<int> out;           // tries that are out; answers to others are nobody's
+  std::set<int> acknowledged;  // of which their nodes have said that they have them
+  int working = 0;             // servers at work on it
 };
 
 struct Waiting {
@@ -56,18 +56,18 @@
 };
 
 struct Node {
-  std::unique_ptr<DAdaptivePicker> wayfinder;
-  std::unique_ptr<RetryBudget> toll;
+  std::unique_ptr<DAdaptivePicker> picker;
+  std::unique_ptr<RetryBudget> retryBudget;
   EndpointTable endpoints;
   std::unique_ptr<proxy::CandidateSource> candidates;
 };
 
-class PathWorld {
+class ProxyWorld {
  public:
-  PathWorld(const Scenario& scenario, std::uint64_t seed) : s_(scenario), clock_(seed) {
-    const int servers = static_cast<int>(number(s_, "servers", 8));
-    const int slots = static_cast<int>(number(s_, "slots", 9));
-    const auto speeds = linesOf(s_, "speeds");
+  ProxyWorld(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), clock_(seed) {
+    const int servers = static_cast<int>(number(scenario_, "servers", 8));
+    const int slots = static_cast<int>(number(scenario_, "slots", 9));
+    const auto speeds = linesOf(scenario_, "speeds");
     for (int i = 0; i < servers; ++i) {
       auto host = std::make_unique<Host>();
       host->id = InstanceId("s" + std::to_string(i));
@@ -78,22 +78,22 @@
       }
       hosts_.push_back(std::move(host));
     }
-    const int nodes = static_cast<int>(number(s_, "nodes", 12));
-    terms_.ratio = number(s_, "ratio", 0.2);
-    terms_.slack = number(s_, "slack", 60);
+    const int nodes = static_cast<int>(number(scenario_, "nodes", 12));
+    retryBudgetOptions_.ratio = number(scenario_, "ratio", 0.2);
+    retryBudgetOptions_.slack = number(scenario_, "slack", 60);
     for (int i = 0; i < nodes; ++i) {
       auto node = std::make_unique<Node>();
-      node->wayfinder = std::make_unique<DAdaptivePicker>(clock_.random());
-      node->toll = std::make_unique<RetryBudget>(terms_);
-      node->toll->setNodeCount(static_cast<std::size_t>(nodes));
+      node->picker = std::make_unique<DAdaptivePicker>(clock_.random());
+      node->retryBudget = std::make_unique<RetryBudget>(retryBudgetOptions_);
+      node->retryBudget->setNodeCount(static_cast<std::size_t>(nodes));
       node->candidates = std::make_unique<NodeCandidates>(*this, *node);
       nodes_.push_back(std::move(node));
     }
   }
 
   void play(std::map<std::string, double>& out) {
-    const double length = number(s_, "length", 15000);
-    for (const auto* line : linesOf(s_, "at")) schedule(*line);
+    const double length = number(scenario_, "length", 15000);
+    for (const auto* line : linesOf(scenario_, "at")) schedule(*line);
     arrive(length);
     clock_.runUntil(length + 5000);
     check();
@@ -111,7 +111,7 @@
            {"after_drain", afterDrain_},
            {"in_target", static_cast<double>(std::count_if(
                              times_.begin(), times_.end(),
-                             [&](double t) { return t <= number(s_, "target", 800); })) /
+                             [&](double t) { return t <= number(scenario_, "target", 800); })) /
                              n},
            {"high_served", highServed_ / std::max(1.0, high_)},
            {"low_served", lowServed_ / std::max(1.0, low_)}};
@@ -143,7 +143,7 @@
   }
 
   void arrive(double length) {
-    const double perSecond = number(s_, "rate", 150);
+    const double perSecond = number(scenario_, "rate", 150);
     const double gap = std::exponential_distribution<double>(perSecond / 1000)(clock_.random);
     if (clock_.ms() + gap > length) return;
     clock_.after(gap, [this, length] {
@@ -156,41 +156,41 @@
     auto request = std::make_shared<Request>();
     request->number = static_cast<int>(requests_.size());
     request->node = static_cast<int>(clock_.random() % nodes_.size());
-    request->idempotent = clock_.chance(number(s_, "idempotent", 0.6));
-    request->rank = clock_.chance(0.3) ? 0 : 2;
+    request->idempotent = clock_.chance(number(scenario_, "idempotent", 0.6));
+    request->priority = clock_.chance(0.3) ? 0 : 2;
     request->began = clock_.ms();
-    request->deadline = clock_.now() + fromMillis(number(s_, "deadline", 2000));
+    request->deadline = clock_.now() + fromMillis(number(scenario_, "deadline", 2000));
     requests_.push_back(request);
     firsts_.push_back(clock_.ms());
-    (request->rank == 0 ? high_ : low_) += 1;
-    proxy::RequestPolicy terms;
-    terms.service = ServiceName("svc");
-    terms.idempotent = request->idempotent;
-    terms.maxAttempts = static_cast<int>(number(s_, "max_attempts", 2));
-    terms.deadline = request->deadline;
+    (request->priority == 0 ? high_ : low_) += 1;
+    proxy::RequestPolicy policy;
+    policy.service = ServiceName("svc");
+    policy.idempotent = request->idempotent;
+    policy.maxAttempts = static_cast<int>(number(scenario_, "max_attempts", 2));
+    policy.deadline = request->deadline;
     auto& node = *nodes_[static_cast<std::size_t>(request->node)];
-    request->ascent =
-        std::make_unique<AttemptPlanner>(terms, *node.candidates, *node.wayfinder, *node.toll);
+    request->planner =
+        std::make_unique<AttemptPlanner>(policy, *node.candidates, *node.picker, *node.retryBudget);
     clock_.at(request->deadline, [this, request] {
       if (request->over) return;
       const bool sent = request->turn > 0;
-      const auto kind = request->ascent->errorAtDeadline(sent);
+      const auto kind = request->planner->errorAtDeadline(sent);
       end(*request, responseFor(kind).notExecuted ? refused_ : overdue_,
           responseFor(kind).notExecuted);
     });
-    carryOut(request, request->ascent->start(clock_.now()));
+    carryOut(request, request->planner->start(clock_.now()));
   }
 
   // What one node may choose from.
   class NodeCandidates : public proxy::CandidateSource {
    public:
-    NodeCandidates(PathWorld& world, Node& node) : world_(world), node_(node) {}
+    NodeCandidates(ProxyWorld& world, Node& node) : world_(world), node_(node) {}
     const std::vector<Candidate>& candidates(const ServiceName&, bool, TimePoint) override {
       return world_.candidates(node_);
     }
 
    private:
-    PathWorld& world_;
+    ProxyWorld& world_;
     Node& node_;
   };
 
@@ -199,7 +199,8 @@
     out.clear();
     for (const auto& host : hosts_) {
       // News of a drain takes a while to get round.
-      if (host->drainedAt >= 0 && clock_.ms() - host->drainedAt > number(s_, "news", 50)) continue;
+      if (host->drainedAt >= 0 && clock_.ms() - host->drainedAt > number(scenario_, "news", 50))
+        continue;
       const auto& state = node.endpoints.state(host->id);
       if (!state.reachability.isReachable(clock_.now())) continue;
       out.push_back(
@@ -208,68 +209,70 @@
     return out;
   }
 
-  void carryOut(const std::shared_ptr<Request>& request, const PlannedAction& step) {
-    if (request->over || step.kind == PlannedAction::Kind::wait) return;
-    if (step.kind == PlannedAction::Kind::respond) {
+  void carryOut(const std::shared_ptr<Request>& request, const PlannedAction& action) {
+    if (request->over || action.kind == PlannedAction::Kind::wait) return;
+    if (action.kind == PlannedAction::Kind::respond) {
       require(request->out.empty() && request->working == 0,
               "an answer of our own while a server's is owed");
-      const auto& row = responseFor(step.error);
+      const auto& row = responseFor(action.error);
       end(*request, row.notExecuted ? refused_ : unclear_, row.notExecuted);
       return;
     }
     const int turn = ++request->turn;
     request->out.insert(turn);
-    auto& host = hostOf(*step.candidate.id);
+    auto& host = hostOf(*action.candidate.id);
     auto& node = *nodes_[static_cast<std::size_t>(request->node)];
     node.endpoints.onRequestStarted(host.id, clock_.now());
     if (lost("unsent")) {
-      back(request, turn, host, AttemptOutcome::unreachable, 300);
+      attemptEnded(request, turn, host, AttemptOutcome::unreachable, 300);
       return;
     }
     if (lost("before_ingress")) {
-      back(request, turn, host, AttemptOutcome::maybeExecuted, 50);
+      attemptEnded(request, turn, host, AttemptOutcome::maybeExecuted, 50);
       return;
     }
-    const double way = lost("slow_way") ? clock_.uniform(100, number(s_, "slow_way", 400))
+    const double way = lost("slow_way") ? clock_.uniform(100, number(scenario_, "slow_way", 400))
                                         : clock_.uniform(0.1, 1.2);
-    clock_.after(way, [this, request, turn, &host, wait = step.mayQueue] {
-      if (request->out.contains(turn)) atIngress(request, turn, host, wait);
+    clock_.after(way, [this, request, turn, &host, mayQueue = action.mayQueue] {
+      if (request->out.contains(turn)) arriveAtIngress(request, turn, host, mayQueue);
     });
     clock_.after(150, [this, request, turn, &host, &node] {
-      if (request->over || !request->out.contains(turn) || request->signed_.contains(turn)) return;
+      if (request->over || !request->out.contains(turn) || request->acknowledged.contains(turn))
+        return;
       ++silent_;
       node.endpoints.state(host.id).reachability.onUnreachable(clock_.now());
-      const auto next = request->ascent->onAttemptSilent(host.id, clock_.now());
+      const auto next = request->planner->onAttemptSilent(host.id, clock_.now());
       besides_ += next.kind == PlannedAction::Kind::send ? 1 : 0;
       carryOut(request, next);
     });
   }
 
-  void atIngress(const std::shared_ptr<Request>& request, int turn, Host& host, bool mayWait) {
+  void arriveAtIngress(const std::shared_ptr<Request>& request, int turn, Host& host,
+                       bool mayQueue) {
     const bool closed = host.closesAt >= 0 && clock_.ms() >= host.closesAt;
     if (host.down || closed) {
-      back(request, turn, host, AttemptOutcome::unavailable, 1);
+      attemptEnded(request, turn, host, AttemptOutcome::unavailable, 1);
       return;
     }
     clock_.after(1, [request, turn, &host] {
-      request->signed_.insert(turn);
+      request->acknowledged.insert(turn);
       if (!request->over && request->out.contains(turn))
-        request->ascent->onInterimResponse(host.id);
+        request->planner->onInterimResponse(host.id);
     });
     AdmissionQueue::Arrival arrival;
     arrival.ticket = ++tickets_;
-    arrival.priority = request->rank;
+    arrival.priority = request->priority;
     arrival.deadline = request->deadline;
-    arrival.targetTime = TimePoint(fromMillis(request->began + number(s_, "target", 800)));
-    arrival.mayQueue = mayWait;
+    arrival.targetTime = TimePoint(fromMillis(request->began + number(scenario_, "target", 800)));
+    arrival.mayQueue = mayQueue;
     switch (host.gate->admit(arrival, clock_.now())) {
       case AdmissionQueue::Admission::rejected:
-        back(request, turn, host, AttemptOutcome::overloaded, 1);
+        attemptEnded(request, turn, host, AttemptOutcome::overloaded, 1);
         break;
       case AdmissionQueue::Admission::queued:
         host.waiting[arrival.ticket] = {request, turn};
         clock_.at(host.gate->nextDeadline() + fromMillis(1),
-                  [this, &host] { move(host, host.gate->tick(clock_.now())); });
+                  [this, &host] { applyTransitions(host, host.gate->tick(clock_.now())); });
         break;
       case AdmissionQueue::Admission::admitted:
         run(request, turn, host);
@@ -279,23 +282,24 @@
 
   void run(const std::shared_ptr<Request>& request, int turn, Host& host) {
     if (lost("before_server")) {
-      move(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
+      applyTransitions(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
       arrivals_.emplace_back(clock_.ms(), request->number);
-      back(request, turn, host, AttemptOutcome::maybeExecuted, 1);
+      attemptEnded(request, turn, host, AttemptOutcome::maybeExecuted, 1);
       return;
     }
     arrivals_.emplace_back(clock_.ms(), request->number);
     if (lost("turned_away")) {
-      move(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
-      back(request, turn, host, AttemptOutcome::notExecuted, 1);
+      applyTransitions(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
+      attemptEnded(request, turn, host, AttemptOutcome::notExecuted, 1);
       return;
     }
     ++request->runs;
     ++request->working;
-    if (host.drainedAt >= 0 && clock_.ms() - host.drainedAt > number(s_, "drain_timeout", 2000)) {
+    if (host.drainedAt >= 0 &&
+        clock_.ms() - host.drainedAt > number(scenario_, "drain_timeout", 2000)) {
       ++afterDrain_;
     }
-    const double mean = number(s_, "work", 200);
+    const double mean = number(scenario_, "work", 200);
     const double work =
         std::exp(std::normal_distribution<double>(std::log(mean) - 0.125, 0.5)(clock_.random)) *
         host.speed;
@@ -304,14 +308,15 @@
     clock_.after(work, [this, request, turn, &host, epoch, began] {
       --request->working;
       if (host.epoch != epoch) {
-        back(request, turn, host, AttemptOutcome::maybeExecuted, 1);
+        attemptEnded(request, turn, host, AttemptOutcome::maybeExecuted, 1);
         return;
       }
-      const auto moves = host.gate->onRequestEnded(clock_.now(), fromMillis(clock_.ms() - began));
+      const auto transitions =
+          host.gate->onRequestEnded(clock_.now(), fromMillis(clock_.ms() - began));
       const int jobs = host.gate->running() + host.gate->queued();
-      move(host, moves);
+      applyTransitions(host, transitions);
       if (lost("after_run")) {
-        back(request, turn, host, AttemptOutcome::maybeExecuted, 1);
+        attemptEnded(request, turn, host, AttemptOutcome::maybeExecuted, 1);
         return;
       }
       clock_.after(clock_.uniform(0.1, 1.2), [this, request, turn, &host, jobs] {
@@ -322,31 +327,31 @@
         if (request->over) return;
         request->over = true;
         served_ += 1;
-        (request->rank == 0 ? highServed_ : lowServed_) += 1;
+        (request->priority == 0 ? highServed_ : lowServed_) += 1;
         times_.push_back(clock_.ms() - request->began);
       });
     });
   }
 
-  void move(Host& host, const AdmissionQueue::Transitions& moves) {
-    for (const auto ticket : moves.admitted) {
+  void applyTransitions(Host& host, const AdmissionQueue::Transitions& transitions) {
+    for (const auto ticket : transitions.admitted) {
       const auto w = host.waiting.extract(ticket);
       if (w.empty()) continue;
       if (w.mapped().request->over) {
-        move(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
+        applyTransitions(host, host.gate->onRequestEnded(clock_.now(), Duration(0)));
       } else {
         run(w.mapped().request, w.mapped().turn, host);
       }
     }
-    for (const auto ticket : moves.expired) {
+    for (const auto ticket : transitions.expired) {
       const auto w = host.waiting.extract(ticket);
       if (!w.empty())
-        back(w.mapped().request, w.mapped().turn, host, AttemptOutcome::overloaded, 1);
+        attemptEnded(w.mapped().request, w.mapped().turn, host, AttemptOutcome::overloaded, 1);
     }
   }
 
-  void back(const std::shared_ptr<Request>& request, int turn, Host& host, AttemptOutcome outcome,
-            double ms) {
+  void attemptEnded(const std::shared_ptr<Request>& request, int turn, Host& host,
+                    AttemptOutcome outcome, double ms) {
     clock_.after(ms, [this, request, turn, &host, outcome] {
       auto& node = *nodes_[static_cast<std::size_t>(request->node)];
       if (request->out.erase(turn) == 0) return;
@@ -355,7 +360,7 @@
         node.endpoints.state(host.id).reachability.onUnreachable(clock_.now());
       }
       if (request->over) return;
-      carryOut(request, request->ascent->onAttemptEnded(host.id, outcome, clock_.now()));
+      carryOut(request, request->planner->onAttemptEnded(host.id, outcome, clock_.now()));
     });
   }
 
@@ -365,9 +370,9 @@
     if (promise) promised_.insert(request.number);
   }
 
-  bool lost(const std::string& step) {
-    for (const auto* line : linesOf(s_, "lose")) {
-      if (line->words.at(1) == step) return clock_.chance(std::stod(line->words.at(2)));
+  bool lost(const std::string& action) {
+    for (const auto* line : linesOf(scenario_, "lose")) {
+      if (line->words.at(1) == action) return clock_.chance(std::stod(line->words.at(2)));
     }
     return false;
   }
@@ -395,14 +400,15 @@
         return std::count_if(list.begin(), list.end(),
                              [&](double t) { return t > end - window && t <= end; });
       };
-      const double may = terms_.ratio * static_cast<double>(in(firsts_)) + terms_.slack;
+      const double may =
+          retryBudgetOptions_.ratio * static_cast<double>(in(firsts_)) + retryBudgetOptions_.slack;
       require(static_cast<double>(in(repeats_)) <= may, "the retry budget is overdrawn");
     }
   }
 
-  const Scenario& s_;
+  const Scenario& scenario_;
   Clock clock_;
-  proxy::RetryBudgetOptions terms_;
+  proxy::RetryBudgetOptions retryBudgetOptions_;
   std::vector<std::unique_ptr<Host>> hosts_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Candidate> candidates_;
@@ -429,7 +435,7 @@
 }  // namespace
 
 void playPath(const Scenario& scenario, std::uint64_t seed, std::map<std::string, double>& out) {
-  PathWorld(scenario, seed).play(out);
+  ProxyWorld(scenario, seed).play(out);
 }
 
 }  // namespace merlingauge::test
