--- a/tests/gossip/peer_selector_test.cpp
+++ b/tests/gossip/peer_selector_test.cpp
@@ -21,13 +21,13 @@
     }
     return rendezvousOrder(options.self, nodes, {});
   }
-  ControlNodeDirectory directory{dependencies, options};
-  PeerSelector selector{dependencies, options, directory};
+  ControlNodeDirectory directory_{dependencies, options};
+  PeerSelector selector_{dependencies, options, directory_};
 };
 
 TEST_F(PeerSelectorTest, SidecarPullsFromTwoControlNodesInItsOrder) {
   const auto order = announceControlNodes();
-  const auto selection = selector.select({});
+  const auto selection = selector_.select({});
   ASSERT_EQ(selection.size(), 2U);
   EXPECT_TRUE(selection.at(order[0]).requestPullBack);
   EXPECT_FALSE(selection.at(order[0]).lowFrequency);
@@ -37,7 +37,7 @@
 
 TEST_F(PeerSelectorTest, FailingControlNodeIsPulledFromBesideTwoOthers) {
   const auto order = announceControlNodes();
-  const auto selection = selector.select({order[0]});
+  const auto selection = selector_.select({order[0]});
   ASSERT_EQ(selection.size(), 3U);
   EXPECT_FALSE(selection.at(order[1]).lowFrequency);
   EXPECT_TRUE(selection.at(order[2]).lowFrequency);
@@ -45,9 +45,9 @@
 
 TEST_F(PeerSelectorTest, ControlNodeOutOfQuorumIsPulledFromRarely) {
   const auto order = announceControlNodes();
-  EXPECT_TRUE(selector.setOutOfQuorum(order[0], true));
-  EXPECT_FALSE(selector.setOutOfQuorum(order[0], true));
-  const auto selection = selector.select({});
+  EXPECT_TRUE(selector_.setOutOfQuorum(order[0], true));
+  EXPECT_FALSE(selector_.setOutOfQuorum(order[0], true));
+  const auto selection = selector_.select({});
   ASSERT_EQ(selection.size(), 3U);
   EXPECT_TRUE(selection.at(order[0]).lowFrequency);
   EXPECT_FALSE(selection.at(order[1]).lowFrequency);
@@ -55,7 +55,7 @@
 
 TEST_F(PeerSelectorTest, SeedsAreUsedWhileNobodyElseIsKnown) {
   options.seeds = {NodeId("10.0.1.1"), options.self};
-  const auto selection = selector.select({});
+  const auto selection = selector_.select({});
   ASSERT_EQ(selection.size(), 1U);
   EXPECT_TRUE(selection.contains(NodeId("10.0.1.1")));
 }
@@ -63,13 +63,13 @@
 TEST_F(PeerSelectorTest, PullerIsPulledBackForAWhile) {
   announceControlNodes();
   const NodeId puller("10.0.2.1");
-  EXPECT_FALSE(selector.onPullBackRequest(puller, PullBack::none));
-  EXPECT_TRUE(selector.onPullBackRequest(puller, PullBack::lowFrequency));
-  EXPECT_FALSE(selector.onPullBackRequest(puller, PullBack::lowFrequency));
-  EXPECT_TRUE(selector.select({}).at(puller).lowFrequency);
+  EXPECT_FALSE(selector_.onPullBackRequest(puller, PullBack::none));
+  EXPECT_TRUE(selector_.onPullBackRequest(puller, PullBack::lowFrequency));
+  EXPECT_FALSE(selector_.onPullBackRequest(puller, PullBack::lowFrequency));
+  EXPECT_TRUE(selector_.select({}).at(puller).lowFrequency);
   environment.time += std::chrono::seconds(4);
-  EXPECT_FALSE(selector.select({}).contains(puller));
-  EXPECT_TRUE(selector.onPullBackRequest(puller, PullBack::ordinary));
+  EXPECT_FALSE(selector_.select({}).contains(puller));
+  EXPECT_TRUE(selector_.onPullBackRequest(puller, PullBack::ordinary));
 }
 
 TEST(RendezvousOrder, NearNodesComeFirstAndTheNodeItselfNever) {
