--- /dev/null
+++ b/tests/simulation/register/planted_fault.hpp
@@ -0,0 +1,25 @@
+// planted_fault: a fault that a scenario plants in the register, which the checkers must find.
+#pragma once
+
+#include <cstdint>
+
+#include "simulation/scenario_runner.hpp"
+
+namespace merlingauge::test::register_world {
+
+enum class PlantedFault : std::uint8_t {
+  none,
+  forgottenDisk,       ///< `forgetful`: a voter that lost its disk votes as if nothing had been
+  forgottenChanges,    ///< `forget_orders`: few changes are remembered, unknown ones are rejected
+  hiddenIncarnations,  ///< `untold`: replies say nothing of incarnations
+  oldVoterRule,        ///< `oldrule`: voters are chosen by the rule that was replaced
+  oneMajority,         ///< `onemajority`: new voters take over without the old ones
+  rejectedAhead,       ///< `refuse_ahead`: a change on a base not yet committed is a conflict
+  unfencedSnapshot,    ///< `unfenced`: a restored disk keeps the incarnation it was saved under
+  unsyncedReplies,     ///< `unsynced`: replies do not wait for the disk
+};
+
+/// The word of the line `fault WORD`; none without such a line.
+PlantedFault plantedFaultOf(const Scenario& scenario);
+
+}  // namespace merlingauge::test::register_world
