--- a/tests/compatibility/fixture_writer.cpp
+++ b/tests/compatibility/fixture_writer.cpp
@@ -302,7 +302,7 @@
   [[nodiscard]] std::string front() const { return hosts_ + ".0.11"; }
   [[nodiscard]] std::string back() const { return hosts_ + ".0.12"; }
   [[nodiscard]] const std::string& program() const { return program_; }
-  Mesh& mesh() { return mesh_; }
+  NodeProcesses& mesh() { return mesh_; }
   Recorder& recorder() { return recorder_; }
 
   static json status(const std::string& ip) {
@@ -351,7 +351,7 @@
   std::string hosts_;
   std::vector<std::string> nodes_;
   Recorder recorder_;
-  Mesh mesh_;
+  NodeProcesses mesh_;
   int inPlace_ = 0;
   std::map<int, std::string> texts_;
 };
@@ -377,7 +377,7 @@
   auto& mesh = site.mesh();
   site.change(site.core(1), 3, "alpha");
   site.waitForAll({site.core(1), site.core(2), site.core(3)});
-  mesh.start(site.core(4), Mesh::Kind::core, false);
+  mesh.start(site.core(4), NodeProcesses::Kind::core, false);
   eventually("the spare has read the voters' promises", [&] {
     auto told = Site::status(site.core(2));
     for (const auto& node : told["nodes"]) {
@@ -402,8 +402,8 @@
   require(WIFEXITED(end) && WEXITSTATUS(end) == 0, "the voter ends in order");
   fs::create_directories(folder / "store");
   fs::copy(mesh.dataOf(site.core(1)) + "/register", folder / "store" / "register");
-  mesh.start(site.core(1), Mesh::Kind::core, false);
-  mesh.start(site.core(3), Mesh::Kind::core, false);
+  mesh.start(site.core(1), NodeProcesses::Kind::core, false);
+  mesh.start(site.core(3), NodeProcesses::Kind::core, false);
   eventually("both are back", [&] {
     return Site::status(site.core(1))["revision"] == 7 &&
            Site::status(site.core(3))["revision"] == 7;
@@ -447,8 +447,8 @@
   recorder.cut(nullptr);
 }
 
-void beatAll(Site& site, App& app) {
-  app.beat("available");
+void beatAll(Site& site, StandInServer& app) {
+  app.sendHeartbeat("available");
   const json other = {
       {"address", at(site.back(), kApp)},
       {"node_info",
@@ -468,9 +468,9 @@
 }
 
 // Requests through egress and ingress: answered, refused in each way, and left unclear.
-void request(Site& site, App& app) {
+void request(Site& site, StandInServer& app) {
   eventually("a request is served", [&] {
-    app.beat("available");
+    app.sendHeartbeat("available");
     return ask(site, "/alpha0/plain") == 200;
   });
   ask(site, "/alpha1/once");
@@ -486,7 +486,7 @@
   };
   for (int i = 0; i < 6; ++i) ask(site, "/alpha2/turned");
   direct("another");
-  app.beat("available");
+  app.sendHeartbeat("available");
   std::vector<std::thread> many;
   for (int i = 0; i < 8; ++i) {
     many.emplace_back([&site] { ask(site, "/alpha0/slow"); });
@@ -496,7 +496,7 @@
   // more than it knows a server to take.
   direct("nobody");
   many.clear();
-  app.beat("available");
+  app.sendHeartbeat("available");
   for (int i = 0; i < 4; ++i) many.emplace_back([&] { direct("i-1"); });
   for (auto& one : many) one.join();
 }
@@ -505,7 +505,7 @@
 void wipeVoter(Site& site) {
   site.mesh().stop(site.core(2), SIGKILL);
   site.mesh().wipe(site.core(2));
-  site.mesh().start(site.core(2), Mesh::Kind::core, false);
+  site.mesh().start(site.core(2), NodeProcesses::Kind::core, false);
   eventually("the voter votes again", [&] { return Site::status(site.core(2))["votes"] == true; });
   site.change(site.core(1), site.inPlace() + 1, "beta");
 }
@@ -532,9 +532,9 @@
   mesh.stop(site.core(4), SIGKILL);
   mesh.stop(site.core(2), SIGKILL);
   mesh.wipe(site.core(2));
-  mesh.start(site.core(2), Mesh::Kind::core, false);
+  mesh.start(site.core(2), NodeProcesses::Kind::core, false);
   mesh.wipe(site.core(4));
-  mesh.start(site.core(4), Mesh::Kind::core, false);
+  mesh.start(site.core(4), NodeProcesses::Kind::core, false);
   pauseFor(3000);
   Site::put(site.core(1), site.inPlace(), configurationOf(site.inPlace() + 1, "beta"));
   pauseFor(4000);
@@ -579,19 +579,19 @@
 
 void recordRealNodes(const std::string& program, const fs::path& folder, Collection& collection) {
   Site site(program);
-  for (int n = 1; n <= 3; ++n) site.mesh().start(site.core(n), Mesh::Kind::core, true);
+  for (int n = 1; n <= 3; ++n) site.mesh().start(site.core(n), NodeProcesses::Kind::core, true);
   for (const auto& ip : {site.front(), site.back()}) {
-    site.mesh().start(ip, Mesh::Kind::sidecar, true);
+    site.mesh().start(ip, NodeProcesses::Kind::sidecar, true);
   }
   writeStore(site, folder);
   // One that comes to a mesh that has a configuration.
   site.mesh().stop(site.front(), SIGKILL);
-  site.mesh().start(site.front(), Mesh::Kind::sidecar, false);
+  site.mesh().start(site.front(), NodeProcesses::Kind::sidecar, false);
   contend(site);
   {
-    App app(site.back(), "i-1");
+    StandInServer app(site.back(), "i-1");
     request(site, app);
-    app.beat("draining");
+    app.sendHeartbeat("draining");
     pauseFor(500);  // else others hear of both at once
     require(call(at(site.back(), kControl), "POST", "/v1/Instances.Deregister/i-1").status == 200,
             "a server leaves");
--- a/tests/compatibility/mixed_versions_test.cpp
+++ b/tests/compatibility/mixed_versions_test.cpp
@@ -4,7 +4,7 @@
 // different versions pass a request on to each other meanwhile.
 #include <algorithm>
 
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -47,12 +47,12 @@
   [[nodiscard]] std::string front() const { return hosts_ + ".0.11"; }
   [[nodiscard]] std::string back() const { return hosts_ + ".0.12"; }
 
-  void start(const std::string& ip, Kind kind, Mesh::Kind what, bool first) {
+  void start(const std::string& ip, Kind kind, NodeProcesses::Kind what, bool first) {
     kinds_[ip] = kind;
     meshOf(ip).start(ip, what, first);
   }
   // As the other version, on the disk it had.
-  void exchange(const std::string& ip, Mesh::Kind what) {
+  void exchange(const std::string& ip, NodeProcesses::Kind what) {
     const int end = meshOf(ip).stop(ip, SIGTERM);
     require(WIFEXITED(end) && WEXITSTATUS(end) == 0, ip + " ends in order");
     start(ip, kinds_.at(ip) == Kind::oldOne ? Kind::newOne : Kind::oldOne, what, false);
@@ -70,10 +70,12 @@
   }
 
  private:
-  Mesh& meshOf(const std::string& ip) { return kinds_.at(ip) == Kind::oldOne ? old_ : new_; }
+  NodeProcesses& meshOf(const std::string& ip) {
+    return kinds_.at(ip) == Kind::oldOne ? old_ : new_;
+  }
   std::string hosts_;
-  Mesh old_;
-  Mesh new_;
+  NodeProcesses old_;
+  NodeProcesses new_;
   std::map<std::string, Kind> kinds_;
 };
 
@@ -136,7 +138,7 @@
   std::vector<std::string> orders_;
 };
 
-void request(Fleet& fleet, App& app) {
+void request(Fleet& fleet, StandInServer& app) {
   const auto ask = [&](const std::string& path) {
     return call(at(fleet.front(), kEgress), "POST", path,
                 {{"Host", "echo.example"}, {"Deadline-Ms", "2000"}}, "x")
@@ -146,7 +148,7 @@
   inTime("requests pass from a sidecar (" + fleet.kindOf(fleet.front()) + ") to a sidecar (" +
              fleet.kindOf(fleet.back()) + ")",
          [&] {
-           app.beat("available");
+           app.sendHeartbeat("available");
            passed = ask("/safe/1") == 200 ? passed + 1 : 0;
            return passed == kToldPasses;
          });
@@ -155,7 +157,7 @@
 void renew(Fleet& fleet, Operator& orders, int n) {
   const auto ip = fleet.voter(n);
   const auto before = fleet.logOf(ip).size();
-  fleet.exchange(ip, Mesh::Kind::core);
+  fleet.exchange(ip, NodeProcesses::Kind::core);
   const auto who = "voter " + std::to_string(n) + ", now " + fleet.kindOf(ip) + ", ";
   inTime(who + "reads its disk", [&] {
     return fleet.logOf(ip).find("state read back, version " + std::to_string(orders.revision()),
@@ -171,11 +173,11 @@
   Operator orders(fleet);
   for (int n = 1; n <= kVoters; ++n) {
     fleet.start(fleet.voter(n), n <= 3 ? Fleet::Kind::oldOne : Fleet::Kind::newOne,
-                Mesh::Kind::core, true);
+                NodeProcesses::Kind::core, true);
   }
-  fleet.start(fleet.front(), Fleet::Kind::oldOne, Mesh::Kind::sidecar, true);
-  fleet.start(fleet.back(), Fleet::Kind::newOne, Mesh::Kind::sidecar, true);
-  App app(fleet.back(), "i-1");
+  fleet.start(fleet.front(), Fleet::Kind::oldOne, NodeProcesses::Kind::sidecar, true);
+  fleet.start(fleet.back(), Fleet::Kind::newOne, NodeProcesses::Kind::sidecar, true);
+  StandInServer app(fleet.back(), "i-1");
 
   std::cout << "-- three old, two new\n";
   for (int n = 1; n <= kVoters; ++n) {
@@ -191,8 +193,8 @@
   orders.checkAllOrders();
 
   std::cout << "-- the sidecars change their versions\n";
-  fleet.exchange(fleet.front(), Mesh::Kind::sidecar);
-  fleet.exchange(fleet.back(), Mesh::Kind::sidecar);
+  fleet.exchange(fleet.front(), NodeProcesses::Kind::sidecar);
+  fleet.exchange(fleet.back(), NodeProcesses::Kind::sidecar);
   request(fleet, app);
 
   std::cout << "-- the rest of the old ones is renewed, the new ones go back\n";
--- a/tests/compatibility/recorder.hpp
+++ b/tests/compatibility/recorder.hpp
@@ -4,7 +4,7 @@
 
 #include <atomic>
 
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 
--- a/tests/loopback/change_history_test.cpp
+++ b/tests/loopback/change_history_test.cpp
@@ -1,7 +1,7 @@
 // The real program: five core nodes, one change after the other, and orders of long ago sent again
 // through any of them. `change_history_test PROGRAM [CHANGES]`; with many changes it also prints
 // what one costs.
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -15,13 +15,13 @@
 };
 
 void play(const std::string& program) {
-  Mesh mesh(program, "127.97");
+  NodeProcesses mesh(program, "127.97");
   mesh.adjust = [](json& settings) {
     settings["policy_terms"]["fault_tolerance"] = {{"machines", 2}};
   };
   std::vector<std::string> cores;
   for (int i = 1; i <= 5; ++i) cores.push_back("127.97.0." + std::to_string(i));
-  for (const auto& ip : cores) mesh.start(ip, Mesh::Kind::core, true);
+  for (const auto& ip : cores) mesh.start(ip, NodeProcesses::Kind::core, true);
   // Some numbers are left out, as operators do.
   const auto revision = [](int n) { return n * 3 + n % 2; };
   const auto body = [&](int n) { return config(revision(n), "/p" + std::to_string(n) + "/"); };
@@ -110,7 +110,7 @@
   for (const auto& ip : cores) mesh.stop(ip, SIGKILL);
   mesh.wipe(cores[0]);
   mesh.wipe(cores[3]);
-  for (const auto& ip : cores) mesh.start(ip, Mesh::Kind::core, false);
+  for (const auto& ip : cores) mesh.start(ip, NodeProcesses::Kind::core, false);
   const int oldest = std::max(1, changes - 400);
   eventually("after a kill of all and the loss of two disks the oldest is known again",
              [&] { return send(0, oldest, body(oldest)).status == 200; });
--- a/tests/loopback/config_storm_test.cpp
+++ b/tests/loopback/config_storm_test.cpp
@@ -7,7 +7,7 @@
 #include <cstring>
 #include <random>
 
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -96,14 +96,14 @@
 }
 
 void play(const std::string& program, const Sizes& sizes) {
-  Mesh mesh(program, "127.117");
+  NodeProcesses mesh(program, "127.117");
   mesh.adjust = [](json& settings) {
     settings["policy_terms"]["fault_tolerance"]["machines"] = 1;
     settings["self_node"]["limits"]["disk_mb"] = 32;
   };
   std::vector<std::string> cores;
   for (int i = 1; i <= 3; ++i) cores.push_back("127.117.0." + std::to_string(i));
-  for (const auto& ip : cores) mesh.start(ip, Mesh::Kind::core, true);
+  for (const auto& ip : cores) mesh.start(ip, NodeProcesses::Kind::core, true);
   eventually("all of the core vote", [&] {
     const auto status = statusOf(cores[0]);
     return status.is_object() && status["voters"].size() == 3 && status["votes"] == true;
@@ -134,12 +134,12 @@
   };
   mesh.stop(cores[2], SIGKILL);
   std::this_thread::sleep_for(away);
-  mesh.start(cores[2], Mesh::Kind::core, false);
+  mesh.start(cores[2], NodeProcesses::Kind::core, false);
   catchesUp("one that was down catches up while changes go on", cores[2]);
   mesh.stop(cores[2], SIGKILL);
   mesh.wipe(cores[2]);
   std::this_thread::sleep_for(away);
-  mesh.start(cores[2], Mesh::Kind::core, false);
+  mesh.start(cores[2], NodeProcesses::Kind::core, false);
   catchesUp("one that lost its disk does", cores[2]);
   // A snapshot of an earlier state is put back: it is read over, not voted with.
   const auto state = [&](const std::string& what, const std::string& ip) {
@@ -154,15 +154,15 @@
   require(state("restore", cores[2]) == 73, "not put back over state that is there");
   std::this_thread::sleep_for(away);
   require(state("restore --force", cores[2]) == 0, "put back");
-  mesh.start(cores[2], Mesh::Kind::core, false);
+  mesh.start(cores[2], NodeProcesses::Kind::core, false);
   catchesUp("one that was put back from a snapshot does", cores[2]);
   const std::string fresh = "127.117.0.4";
-  mesh.start(fresh, Mesh::Kind::core, false);
+  mesh.start(fresh, NodeProcesses::Kind::core, false);
   catchesUp("a new one does", fresh);
   for (int i = 0; i < kRestarts; ++i) {
     mesh.stop(cores[2], SIGKILL);
     if (i % 2 == 1) mesh.wipe(cores[2]);
-    mesh.start(cores[2], Mesh::Kind::core, false);
+    mesh.start(cores[2], NodeProcesses::Kind::core, false);
     std::this_thread::sleep_for(std::chrono::milliseconds(150 * i));
   }
   catchesUp("one that is killed again and again does", cores[2]);
--- a/tests/loopback/gateway_test.cpp
+++ b/tests/loopback/gateway_test.cpp
@@ -2,7 +2,7 @@
 // directly, one of which stutters.
 #include <atomic>
 
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -80,11 +80,11 @@
 }
 
 void play(const std::string& program) {
-  Mesh mesh(program, "127.92");
+  NodeProcesses mesh(program, "127.92");
   const std::vector<std::string> cores = {"127.92.0.1", "127.92.0.2", "127.92.0.3"};
   const std::string edge = "127.92.0.11";
-  for (const auto& ip : cores) mesh.start(ip, Mesh::Kind::core, true);
-  mesh.start(edge, Mesh::Kind::edge, true);
+  for (const auto& ip : cores) mesh.start(ip, NodeProcesses::Kind::core, true);
+  mesh.start(edge, NodeProcesses::Kind::edge, true);
   eventually("an edge without a configuration is not ready",
              [&] { return call(at(edge, kReady), "GET", "/v1/readiness").status == 503; });
   eventually("the first configuration is taken", [&] {
@@ -95,9 +95,9 @@
   eventually("the edge is ready",
              [&] { return call(at(edge, kReady), "GET", "/v1/readiness").status == 200; });
 
-  auto app = std::make_unique<App>("127.92.0.21", "i-1");
+  auto app = std::make_unique<StandInServer>("127.92.0.21", "i-1");
   eventually("a beat to a core is acknowledged",
-             [&] { return app->beat("available", at(cores[1], kControl)) == 200; });
+             [&] { return app->sendHeartbeat("available", at(cores[1], kControl)) == 200; });
   const std::map<std::string, std::string> head = {
       {"Host", "echo.example"}, {"Attempt-Id", "a1"}, {"Caller-Service", "forged"}};
   Reply reply;
@@ -129,9 +129,10 @@
   require(!app->runs().contains("p6"), "nor anything that must not run twice");
 
   {
-    require(app->beat("draining", at(cores[1], kControl)) == 200, "a leaving is acknowledged");
+    require(app->sendHeartbeat("draining", at(cores[1], kControl)) == 200,
+            "a leaving is acknowledged");
     mesh.stop(cores[1], SIGKILL);
-    mesh.start(cores[1], Mesh::Kind::core, false);
+    mesh.start(cores[1], NodeProcesses::Kind::core, false);
     eventually("with the core that heard it lost at once, the edge sends nothing more", [&] {
       return call(at(edge, kEgress), "GET", "/safe/5", {{"Host", "echo.example"}}).status == 503;
     });
--- a/tests/loopback/mesh_test.cpp
+++ b/tests/loopback/mesh_test.cpp
@@ -1,82 +1,119 @@
-// The real program as a mesh: three core nodes, sidecars, stand-in servers. Waits for what it
-// expects, up to a generous limit.
+// mesh_test.cpp: the real program as a mesh of three control nodes, sidecars and stand-in servers.
+#include <gtest/gtest.h>
+
 #include <atomic>
+#include <memory>
 #include <thread>
+#include <vector>
 
 #include "loopback/node_processes.hpp"
+#include "loopback/polling.hpp"
+#include "loopback/program_path.hpp"
+#include "loopback/stand_in_server.hpp"
 
 namespace merlingauge::test {
 namespace {
 
-// Nodes that stand still and go on again, with requests in their sockets.
-void thaws(Mesh& mesh, App& app, const std::string& front, const std::string& back) {
-  const auto ask = [&](const std::string& path, const std::string& id,
-                       const std::string& deadline) {
-    return call(at(front, kEgress), "POST", path,
-                {{"Host", "echo.example"}, {"Attempt-Id", id}, {"Deadline-Ms", deadline}}, "x")
+// Programs that run beside each other don't share addresses.
+std::string hostsOfThisProcess() { return "127." + std::to_string(20 + ::getpid() % 200); }
+
+// Three control nodes and three sidecars: `front` beside the callers, `back` and `other` beside
+// servers of the service echo.
+class Fleet {
+ public:
+  Fleet() : nodes(programPath(), hosts) {
+    for (const auto& ip : control) nodes.start(ip, NodeProcesses::Kind::core, true);
+    for (const auto& ip : {front, back, other}) nodes.start(ip, NodeProcesses::Kind::sidecar, true);
+  }
+
+  static int replaceConfiguration(const std::string& ip, int base, const std::string& body) {
+    return call(at(ip, kControl), "POST", "/v1/Configuration.Replace",
+                {{"Base-Revision", std::to_string(base)}}, body)
         .status;
-  };
-  const auto pause = [](int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); };
-  int status = 0;
-  mesh.pause(back, true);
-  std::thread waiting([&] { status = ask("/safe/1", "w1", "2000"); });
-  pause(500);
-  mesh.pause(back, false);
-  waiting.join();
-  require(status == 200, "with nowhere else to go, the answer of a silent node is waited for");
-  require(app.runs()["w1"] == 1, "and it ran once");
+  }
 
-  mesh.pause(back, true);
-  require(ask("/a/1", "w2", "300") == 504, "what may have run is never promised not to have");
-  mesh.pause(back, false);
-  eventually("the node takes requests again", [&] { return ask("/a/1", "w3", "2000") == 200; });
-  require(!app.runs().contains("w2"),
-          "a node that goes on passes nothing on for callers that left");
+  [[nodiscard]] int post(const std::string& path, const std::string& id) const {
+    return call(at(front, kEgress), "POST", path, {{"Host", "echo.example"}, {"Attempt-Id", id}},
+                "x")
+        .status;
+  }
 
-  require(ask("/safe/drop", "w6", "2000") == 502 && app.runs()["w6"] == 1,
-          "a server that breaks off at work isn't sent the request again by its own node");
+  [[nodiscard]] int postWithin(const std::string& path, const std::string& id,
+                               const std::string& deadlineMs) const {
+    return call(at(front, kEgress), "POST", path,
+                {{"Host", "echo.example"}, {"Attempt-Id", id}, {"Deadline-Ms", deadlineMs}}, "x")
+        .status;
+  }
 
-  mesh.pause(front, true);
-  {
-    net::StreamSocket socket{net::SocketAddress(at(front, kEgress))};
-    const std::string text =
-        "POST /a/1 HTTP/1.1\r\nHost: echo.example\r\nAttempt-Id: w4\r\nContent-Length: 0\r\n\r\n";
-    socket.sendBytes(text.data(), static_cast<int>(text.size()));
+  static int readiness(const std::string& ip) {
+    return call(at(ip, kReady), "GET", "/v1/readiness").status;
   }
-  mesh.pause(front, false);
-  eventually("so does the first node", [&] { return ask("/a/1", "w5", "2000") == 200; });
-  require(!app.runs().contains("w4"), "nor does the node that a caller gave up on");
-}
 
-void play(const std::string& program) {
-  // Runs beside each other don't share addresses.
-  const std::string hosts = "127." + std::to_string(20 + ::getpid() % 200);
-  Mesh mesh(program, hosts);
-  const std::vector<std::string> cores = {hosts + ".0.1", hosts + ".0.2", hosts + ".0.3"};
+  const std::string hosts = hostsOfThisProcess();
+  const std::vector<std::string> control = {hosts + ".0.1", hosts + ".0.2", hosts + ".0.3"};
   const std::string front = hosts + ".0.11";
   const std::string back = hosts + ".0.12";
   const std::string other = hosts + ".0.13";
-  for (const auto& ip : cores) mesh.start(ip, Mesh::Kind::core, true);
-  for (const auto& ip : {front, back, other}) mesh.start(ip, Mesh::Kind::sidecar, true);
-  eventually("a node without a configuration is not ready",
-             [&] { return call(at(front, kReady), "GET", "/v1/readiness").status == 503; });
-  const auto put = [&](const std::string& ip, int base, const std::string& body) {
-    return call(at(ip, kControl), "POST", "/v1/Configuration.Replace",
-                {{"Base-Revision", std::to_string(base)}}, body)
-        .status;
-  };
-  eventually("the first configuration is taken",
-             [&] { return put(cores[1], 0, config(3, "/a/")) == 200; });
-  require(put(cores[2], 0, config(3, "/a/")) == 200, "the same again through another node is 200");
-  require(put(cores[0], 0, config(4, "/b/")) == 412, "another on the same version is 412");
-  require(put(cores[0], 3, config(2, "/b/")) == 400, "a revision that doesn't rise is 400");
-  require(put(cores[0], 3, "{\"revision\":") == 400, "half a document is 400");
-  require(call(at(cores[0], kControl), "GET", "/v1/Configuration.Replace").status == 405,
-          "wrong method is 405");
-  require(call(at(cores[0], kControl), "GET", "/v1/Nothing").status == 404, "no such call is 404");
-  require(call(at(cores[0], kControl), "POST", "/v1/Instances.Heartbeat/x", {}, "{").status == 400,
-          "a bad beat is 400");
-  // What another version of the program might say, and worse: refused, and the node lives on.
+  NodeProcesses nodes;
+  std::unique_ptr<StandInServer> server;  // beside `back`; none until a test starts it
+};
+
+// The tests share one fleet, since its start takes seconds, and run in the order in which they
+// stand: they take it from its first start to its last node's end. Each of them needs what those
+// before it have set up, so none of them can be run alone.
+class MeshTest : public testing::Test {
+ protected:
+  static void SetUpTestSuite() { shared = std::make_unique<Fleet>(); }
+  static void TearDownTestSuite() { shared.reset(); }
+
+  void SetUp() override {
+    ASSERT_FALSE(failedBefore) << "an earlier test has failed: the fleet is in no known state";
+  }
+  void TearDown() override { failedBefore = failedBefore || HasFailure(); }
+
+  // The headers of a caller that also sends those that only nodes may set.
+  static std::map<std::string, std::string> forgedHeaders() {
+    return {{"Host", "echo.example"},        {"Attempt-Id", "t1"}, {"Caller-Service", "forged"},
+            {"Expected-Instance", "forged"}, {"Hut-Refused", "x"}, {"Deadline-Ms", "2000"}};
+  }
+
+  static inline std::unique_ptr<Fleet> shared;
+  static inline bool failedBefore = false;
+  Fleet& fleet = *shared;
+};
+
+TEST_F(MeshTest, SidecarWithoutConfigurationIsNotReady) {
+  ASSERT_TRUE(becomesTrue([&] { return Fleet::readiness(fleet.front) == 503; }))
+      << "a node without a configuration is not ready";
+}
+
+TEST_F(MeshTest, FirstConfigurationIsAcceptedOnceAndSaysSoAgain) {
+  ASSERT_TRUE(becomesTrue([&] {
+    return Fleet::replaceConfiguration(fleet.control[1], 0, config(3, "/a/")) == 200;
+  })) << "the first configuration is taken";
+  ASSERT_EQ(Fleet::replaceConfiguration(fleet.control[2], 0, config(3, "/a/")), 200)
+      << "the same again through another node is 200";
+}
+
+TEST_F(MeshTest, ConflictingAndMalformedConfigurationsAreRejected) {
+  EXPECT_EQ(Fleet::replaceConfiguration(fleet.control[0], 0, config(4, "/b/")), 412)
+      << "another on the same version is 412";
+  EXPECT_EQ(Fleet::replaceConfiguration(fleet.control[0], 3, config(2, "/b/")), 400)
+      << "a revision that doesn't rise is 400";
+  EXPECT_EQ(Fleet::replaceConfiguration(fleet.control[0], 3, "{\"revision\":"), 400)
+      << "half a document is 400";
+}
+
+TEST_F(MeshTest, ControlPlaneRejectsUnknownAndMalformedCalls) {
+  const auto address = at(fleet.control[0], kControl);
+  EXPECT_EQ(call(address, "GET", "/v1/Configuration.Replace").status, 405) << "wrong method is 405";
+  EXPECT_EQ(call(address, "GET", "/v1/Nothing").status, 404) << "no such call is 404";
+  EXPECT_EQ(call(address, "POST", "/v1/Instances.Heartbeat/x", {}, "{").status, 400)
+      << "a bad heartbeat is 400";
+}
+
+// What another version of the program might say, and worse: rejected, and the node lives on.
+TEST_F(MeshTest, ForeignPeerMessagesAreRejected) {
   const std::pair<const char*, const char*> foreign[] = {
       {"/news", "{\"x\":1}"},
       {"/news", "[1,2]"},
@@ -95,131 +132,188 @@
                         "h":{"i":1,"f":0,"s":1,"a":"*"}}})"},
       {"/pages", "{}"}};
   for (const auto& [path, text] : foreign) {
-    const int status = call(at(cores[0], kInner), "POST", path, {}, text).status;
-    require(status >= 400 && status < 500, std::string("a foreign message is refused: ") + text);
+    const int status = call(at(fleet.control[0], kInner), "POST", path, {}, text).status;
+    EXPECT_TRUE(status >= 400 && status < 500) << "a foreign message is refused: " << text;
   }
-  require(call(at(cores[0], kControl), "GET", "/v1/Status").status == 200,
-          "the node is still there");
-  eventually("the sidecars are ready", [&] {
-    return call(at(front, kReady), "GET", "/v1/readiness").status == 200 &&
-           call(at(back, kReady), "GET", "/v1/readiness").status == 200;
-  });
+  EXPECT_EQ(call(at(fleet.control[0], kControl), "GET", "/v1/Status").status, 200)
+      << "the node is still there";
+}
 
-  const std::map<std::string, std::string> head = {
-      {"Host", "echo.example"},        {"Attempt-Id", "t1"}, {"Caller-Service", "forged"},
-      {"Expected-Instance", "forged"}, {"Hut-Refused", "x"}, {"Deadline-Ms", "2000"}};
-  const auto none = call(at(front, kEgress), "POST", "/a/1", head, "x");
-  require(none.status == 503 && none.headers.contains("Retry-After"),
-          "without a server: 503 and when to come back");
-  require(call(at(front, kEgress), "GET", "/z/1", {{"Host", "echo.example"}}).status == 404,
-          "no route is 404");
-  App app(back, "i-1");
-  require(app.beat("available") == 200, "the beat is acknowledged");
+TEST_F(MeshTest, SidecarsBecomeReady) {
+  ASSERT_TRUE(becomesTrue([&] {
+    return Fleet::readiness(fleet.front) == 200 && Fleet::readiness(fleet.back) == 200;
+  })) << "the sidecars are ready";
+}
+
+TEST_F(MeshTest, RequestWithoutServerOrRouteIsRejected) {
+  const auto none = call(at(fleet.front, kEgress), "POST", "/a/1", forgedHeaders(), "x");
+  EXPECT_TRUE(none.status == 503 && none.headers.contains("Retry-After"))
+      << "without a server: 503 and when to come back";
+  EXPECT_EQ(call(at(fleet.front, kEgress), "GET", "/z/1", {{"Host", "echo.example"}}).status, 404)
+      << "no route is 404";
+}
+
+TEST_F(MeshTest, RequestReachesServerWithItsOwnCallerPathAndBody) {
+  fleet.server = std::make_unique<StandInServer>(fleet.back, "i-1");
+  ASSERT_EQ(fleet.server->sendHeartbeat("available"), 200) << "the heartbeat is acknowledged";
   Reply reply;
-  eventually("a request reaches the server", [&] {
-    reply = call(at(front, kEgress), "POST", "/a/1?q=2", head, std::string(200000, 'x'));
+  ASSERT_TRUE(becomesTrue([&] {
+    reply = call(at(fleet.front, kEgress), "POST", "/a/1?q=2", forgedHeaders(),
+                 std::string(200000, 'x'));
     return reply.status == 200;
-  });
+  })) << "a request reaches the server";
   const auto body = json::parse(reply.body);
-  require(body["caller"] == "front" && body["path"] == "/a/1?q=2" && body["body"] == 200000 &&
-              body["hut"] == false,
-          "with its own caller, path and body, and nothing of ours");
-  require(reply.headers["Response-Seal"] == "sealed", "the seal comes back");
-  for (const auto& [id, runs] : app.runs()) require(runs == 1, "it ran once");
-  thaws(mesh, app, front, back);
+  EXPECT_TRUE(body["caller"] == "front" && body["path"] == "/a/1?q=2" && body["body"] == 200000 &&
+              body["hut"] == false)
+      << "with its own caller, path and body, and nothing of ours";
+  EXPECT_EQ(reply.headers["Response-Seal"], "sealed") << "the seal comes back";
+  for (const auto& [id, runs] : fleet.server->runs()) EXPECT_EQ(runs, 1) << "it ran once: " << id;
+}
+
+TEST_F(MeshTest, AnswerOfTheOnlyNodeIsAwaitedWhileItIsSuspended) {
+  int status = 0;
+  fleet.nodes.pause(fleet.back, true);
+  std::thread waiting([&] { status = fleet.postWithin("/safe/1", "w1", "2000"); });
+  std::this_thread::sleep_for(std::chrono::milliseconds(500));
+  fleet.nodes.pause(fleet.back, false);
+  waiting.join();
+  ASSERT_EQ(status, 200)
+      << "with nowhere else to go, the answer of an unresponsive node is waited for";
+  ASSERT_EQ(fleet.server->runs()["w1"], 1) << "and it ran once";
+}
+
+TEST_F(MeshTest, ResumedServerSidecarForwardsNothingForCallersThatLeft) {
+  fleet.nodes.pause(fleet.back, true);
+  ASSERT_EQ(fleet.postWithin("/a/1", "w2", "300"), 504)
+      << "what may have run is never promised not to have";
+  fleet.nodes.pause(fleet.back, false);
+  ASSERT_TRUE(becomesTrue([&] { return fleet.postWithin("/a/1", "w3", "2000") == 200; }))
+      << "the node takes requests again";
+  ASSERT_FALSE(fleet.server->runs().contains("w2"))
+      << "a node that goes on passes nothing on for callers that left";
+}
+
+TEST_F(MeshTest, RequestIsNotRetriedAtServerThatClosesDuringExecution) {
+  ASSERT_TRUE(fleet.postWithin("/safe/drop", "w6", "2000") == 502 &&
+              fleet.server->runs()["w6"] == 1)
+      << "a server that breaks off at work isn't sent the request again by its own node";
+}
+
+TEST_F(MeshTest, ResumedCallerSidecarForwardsNothingForCallersThatLeft) {
+  fleet.nodes.pause(fleet.front, true);
   {
-    App second(other, "i-2");
-    second.beat("available");
-    const auto safe = [&](const std::string& id) {
-      return call(at(front, kEgress), "GET", "/safe/1",
-                  {{"Host", "echo.example"}, {"Attempt-Id", id}});
-    };
-    eventually("a second server takes its part", [&] {
-      app.beat("available");
-      second.beat("available");
-      safe("s0");
-      return second.runs().contains("s0");
-    });
-    mesh.pause(other, true);
-    int served = 0;
-    for (int i = 0; i < 10; ++i) served += safe("f" + std::to_string(i)).status == 200 ? 1 : 0;
-    require(served == 10, "with its node frozen, repeatable requests are all served elsewhere");
-    mesh.pause(other, false);
-    second.beat("available");
-    for (int i = 0; i < 10; ++i) {
-      require(!second.runs().contains("f" + std::to_string(i)),
-              "what was served elsewhere isn't run once the frozen node goes on");
-    }
-    eventually("its leave is acknowledged", [&] {
-      return call(at(other, kControl), "POST", "/v1/Instances.Deregister/i-2").status == 200;
-    });
+    net::StreamSocket socket{net::SocketAddress(at(fleet.front, kEgress))};
+    const std::string text =
+        "POST /a/1 HTTP/1.1\r\nHost: echo.example\r\nAttempt-Id: w4\r\nContent-Length: 0\r\n\r\n";
+    socket.sendBytes(text.data(), static_cast<int>(text.size()));
   }
+  fleet.nodes.pause(fleet.front, false);
+  ASSERT_TRUE(becomesTrue([&] { return fleet.postWithin("/a/1", "w5", "2000") == 200; }))
+      << "the first node takes requests again";
+  ASSERT_FALSE(fleet.server->runs().contains("w4"))
+      << "nor does the node that a caller gave up on pass anything on";
+}
+
+TEST_F(MeshTest, IdempotentRequestsAreServedElsewhereWhileANodeIsSuspended) {
+  StandInServer second(fleet.other, "i-2");
+  second.sendHeartbeat("available");
+  const auto get = [&](const std::string& id) {
+    return call(at(fleet.front, kEgress), "GET", "/safe/1",
+                {{"Host", "echo.example"}, {"Attempt-Id", id}});
+  };
+  ASSERT_TRUE(becomesTrue([&] {
+    fleet.server->sendHeartbeat("available");
+    second.sendHeartbeat("available");
+    get("s0");
+    return second.runs().contains("s0");
+  })) << "a second server takes its part";
+  fleet.nodes.pause(fleet.other, true);
+  int served = 0;
+  for (int i = 0; i < 10; ++i) served += get("f" + std::to_string(i)).status == 200 ? 1 : 0;
+  ASSERT_EQ(served, 10) << "with its node frozen, repeatable requests are all served elsewhere";
+  fleet.nodes.pause(fleet.other, false);
+  second.sendHeartbeat("available");
+  for (int i = 0; i < 10; ++i) {
+    ASSERT_FALSE(second.runs().contains("f" + std::to_string(i)))
+        << "what was served elsewhere isn't run once the frozen node goes on";
+  }
+  ASSERT_TRUE(becomesTrue([&] {
+    return call(at(fleet.other, kControl), "POST", "/v1/Instances.Deregister/i-2").status == 200;
+  })) << "its leave is acknowledged";
+}
+
+TEST_F(MeshTest, RequestWithTwoLengthsIsRejectedAndClosed) {
   const auto smuggled =
-      raw(at(front, kEgress),
+      raw(at(fleet.front, kEgress),
           "POST /a/1 HTTP/1.1\r\nHost: echo.example\r\nAttempt-Id: t2\r\nContent-Length: "
           "4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
-  require(smuggled.rfind("HTTP/1.1 400", 0) == 0 && smuggled.find("(open)") == std::string::npos,
-          "two lengths: 400 and closed");
-  require(!app.runs().contains("t2"), "and nothing ran");
-
-  require(mesh.stop(cores[0], SIGKILL) != 0, "a core node is killed and its disk wiped");
-  mesh.wipe(cores[0]);
-  require(put(cores[1], 3, config(5, "/c/")) == 200, "two of three still take a change");
-  mesh.start(cores[0], Mesh::Kind::core, false);
-  eventually("the wiped node votes again", [&] {
+  ASSERT_TRUE(smuggled.rfind("HTTP/1.1 400", 0) == 0 &&
+              smuggled.find("(open)") == std::string::npos)
+      << "two lengths: 400 and closed";
+  ASSERT_FALSE(fleet.server->runs().contains("t2")) << "and nothing ran";
+}
+
+TEST_F(MeshTest, WipedControlNodeVotesAgainAndKeepsAcknowledgedConfiguration) {
+  const auto& control = fleet.control;
+  ASSERT_NE(fleet.nodes.stop(control[0], SIGKILL), 0)
+      << "a control node is killed and its disk wiped";
+  fleet.nodes.wipe(control[0]);
+  ASSERT_EQ(Fleet::replaceConfiguration(control[1], 3, config(5, "/c/")), 200)
+      << "two of three still take a change";
+  fleet.nodes.start(control[0], NodeProcesses::Kind::core, false);
+  ASSERT_TRUE(becomesTrue([&] {
     const auto status =
-        json::parse(call(at(cores[0], kControl), "GET", "/v1/Status").body, nullptr, false);
+        json::parse(call(at(control[0], kControl), "GET", "/v1/Status").body, nullptr, false);
     return status.is_object() && status["votes"] == true && status["revision"] == 5;
-  });
-  mesh.stop(cores[1], SIGKILL);
-  eventually("and reads back what was acknowledged without it", [&] {
-    const auto read = call(at(cores[0], kControl), "GET", "/v1/Configuration.Describe");
+  })) << "the wiped node votes again";
+  fleet.nodes.stop(control[1], SIGKILL);
+  ASSERT_TRUE(becomesTrue([&] {
+    const auto read = call(at(control[0], kControl), "GET", "/v1/Configuration.Describe");
     return read.status == 200 && json::parse(read.body)["revision"] == 5;
-  });
-  eventually("the new route is in force at the sidecar", [&] {
-    return call(at(front, kEgress), "POST", "/c/1",
-                {{"Host", "echo.example"}, {"Attempt-Id", "t3"}}, "x")
-               .status == 200;
-  });
-  // Requests go on to a server whose node is stopped: none is begun that the node can't end.
+  })) << "and reads back what was acknowledged without it";
+  ASSERT_TRUE(becomesTrue([&] { return fleet.post("/c/1", "t3") == 200; }))
+      << "the new route is in force at the sidecar";
+}
+
+// Requests go on to a server whose node is stopped: none is begun that the node can't end.
+TEST_F(MeshTest, StoppedSidecarCutsNoRequestOff) {
   std::vector<std::thread> callers;
   std::atomic<int> cut{0};
-  std::atomic<int> whole{0};
+  std::atomic<int> complete{0};
   std::thread stopping([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
-    mesh.stop(back, SIGTERM);
+    fleet.nodes.stop(fleet.back, SIGTERM);
   });
   for (int i = 0; i < 22; ++i) {
     callers.emplace_back([&, i] {
-      const auto got =
-          call(at(front, kEgress), "POST", "/c/slow",
-               {{"Host", "echo.example"}, {"Attempt-Id", "q" + std::to_string(i)}}, "x");
-      whole += got.status == 200 ? 1 : 0;
-      cut += got.status == 200 || got.status == 503 ? 0 : 1;
+      const int status = fleet.post("/c/slow", "q" + std::to_string(i));
+      complete += status == 200 ? 1 : 0;
+      cut += status == 200 || status == 503 ? 0 : 1;
     });
     std::this_thread::sleep_for(std::chrono::milliseconds(350));
   }
   for (auto& caller : callers) caller.join();
   stopping.join();
-  require(whole > 0 && cut == 0, "a node that is stopped cuts nothing off");
-  mesh.start(back, Mesh::Kind::sidecar, false);
-  eventually("it is there again", [&] {
-    app.beat("available");
-    return call(at(front, kEgress), "POST", "/c/1",
-                {{"Host", "echo.example"}, {"Attempt-Id", "t4"}}, "x")
-               .status == 200;
-  });
-  require(app.beat("draining") == 200, "the drain is acknowledged");
-  eventually("a drained server gets nothing more", [&] {
-    return call(at(front, kEgress), "POST", "/c/1", {{"Host", "echo.example"}}, "x").status == 503;
-  });
-  const int status = mesh.stop(front, SIGTERM);
-  require(WIFEXITED(status) && WEXITSTATUS(status) == 0, "SIGTERM ends a node in order");
+  ASSERT_TRUE(complete > 0 && cut == 0) << "a node that is stopped cuts nothing off";
+  fleet.nodes.start(fleet.back, NodeProcesses::Kind::sidecar, false);
+  ASSERT_TRUE(becomesTrue([&] {
+    fleet.server->sendHeartbeat("available");
+    return fleet.post("/c/1", "t4") == 200;
+  })) << "it is there again";
 }
 
-}  // namespace
-}  // namespace merlingauge::test
+TEST_F(MeshTest, DrainingServerGetsNoRequest) {
+  ASSERT_EQ(fleet.server->sendHeartbeat("draining"), 200) << "the drain is acknowledged";
+  ASSERT_TRUE(becomesTrue([&] {
+    return call(at(fleet.front, kEgress), "POST", "/c/1", {{"Host", "echo.example"}}, "x").status ==
+           503;
+  })) << "a drained server gets nothing more";
+}
 
-int main(int argc, char** argv) {
-  return merlingauge::test::runPlay(argc, argv, merlingauge::test::play);
+TEST_F(MeshTest, TerminationSignalEndsNodeInOrder) {
+  const int status = fleet.nodes.stop(fleet.front, SIGTERM);
+  ASSERT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << "SIGTERM ends a node in order";
 }
+
+}  // namespace
+}  // namespace merlingauge::test
--- a/tests/loopback/node_processes.hpp
+++ b/tests/loopback/node_processes.hpp
@@ -1,202 +1,47 @@
-// Real processes on loopback addresses and stand-in servers that speak the published protocol, for
-// the tests that run the program itself.
+// node_processes.hpp: node processes on loopback addresses, their settings and a configuration.
 #pragma once
 
-#include <Poco/Net/HTTPClientSession.h>
-#include <Poco/Net/HTTPRequest.h>
-#include <Poco/Net/HTTPRequestHandler.h>
-#include <Poco/Net/HTTPRequestHandlerFactory.h>
-#include <Poco/Net/HTTPResponse.h>
-#include <Poco/Net/HTTPServer.h>
-#include <Poco/Net/HTTPServerRequest.h>
-#include <Poco/Net/HTTPServerRequestImpl.h>
-#include <Poco/Net/HTTPServerResponse.h>
-#include <Poco/Net/ServerSocket.h>
-#include <Poco/Net/StreamSocket.h>
-#include <Poco/StreamCopier.h>
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include <chrono>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <functional>
-#include <iostream>
 #include <map>
-#include <memory>
-#include <mutex>
 #include <nlohmann/json.hpp>
-#include <set>
 #include <string>
-#include <thread>
-#include <vector>
+
+#include "loopback/http_client.hpp"
 
 namespace merlingauge::test {
 
 using nlohmann::json;
-namespace net = Poco::Net;
-
-struct Failure {
-  std::string what;
-};
-
-inline void require(bool ok, const std::string& what) {
-  if (!ok) throw Failure{what};
-  std::cout << "ok: " << what << "\n";
-}
-
-constexpr int kControl = 21801;
-constexpr int kEgress = 21802;
-constexpr int kIngress = 21803;
-constexpr int kReady = 21804;
-constexpr int kApp = 21805;
-constexpr int kInner = 21810;
-
-inline std::string at(const std::string& ip, int port) { return ip + ":" + std::to_string(port); }
-
-struct Reply {
-  int status = 0;
-  std::string body;
-  std::map<std::string, std::string> headers;
-};
 
-inline Reply call(const std::string& address, const std::string& method, const std::string& path,
-                  const std::map<std::string, std::string>& headers = {},
-                  const std::string& body = "") {
-  Reply reply;
-  try {
-    net::HTTPClientSession session{net::SocketAddress(address)};
-    session.setTimeout(Poco::Timespan(3, 0));
-    net::HTTPRequest request(method, path, "HTTP/1.1");
-    for (const auto& [name, value] : headers) request.set(name, value);
-    if (!body.empty()) request.setContentLength(static_cast<std::streamsize>(body.size()));
-    session.sendRequest(request) << body;
-    net::HTTPResponse response;
-    Poco::StreamCopier::copyToString(session.receiveResponse(response), reply.body);
-    reply.status = response.getStatus();
-    for (const auto& [name, value] : response) reply.headers[name] = value;
-  } catch (const Poco::Exception&) {
-    reply.status = 0;
-  }
-  return reply;
-}
-
-template <class Test>
-void eventually(const std::string& what, Test test) {
-  for (int i = 0; i < 300; ++i) {
-    if (test()) {
-      require(true, what);
-      return;
-    }
-    std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  }
-  require(false, what);
-}
-
-// A server of the users': answers what it was sent, sealed, and counts what it runs.
-class App {
+/// Node processes of one fleet, killed at the end with their folder removed. The first three
+/// control nodes, at HOSTS.0.1 to HOSTS.0.3, are the seeds.
+class NodeProcesses {
  public:
-  App(std::string ip, std::string id) : ip_(std::move(ip)), id_(std::move(id)) {
-    net::ServerSocket socket(net::SocketAddress(at(ip_, kApp)));
-    server_ =
-        std::make_unique<net::HTTPServer>(new Factory(*this), socket, new net::HTTPServerParams);
-    server_->start();
-  }
-  ~App() { server_->stopAll(true); }
-
-  // To the node beside it, or to another control address.
-  int beat(const std::string& status, const std::string& to = "") {
-    const json body = {
-        {"address", at(ip_, kApp)},
-        {"node_info",
-         {{"target_service", "echo"}, {"revision", "v1"}, {"zone", "z"}, {"capacity", 2}}},
-        {"status_detail", {{"status", status}, {"sequence", ++sequence_}, {"warmup_left_s", 0}}}};
-    return call(to.empty() ? at(ip_, kControl) : to, "POST", "/v1/Instances.Heartbeat/" + id_, {},
-                body.dump())
-        .status;
-  }
-
-  std::map<std::string, int> runs() {
-    const std::lock_guard<std::mutex> hold(lock_);
-    return runs_;
-  }
-
- private:
-  struct Handler : net::HTTPRequestHandler {
-    explicit Handler(App& a) : app(a) {}
-    void handleRequest(net::HTTPServerRequest& request,
-                       net::HTTPServerResponse& response) override {
-      std::string body;
-      Poco::StreamCopier::copyToString(request.stream(), body);
-      if (request.has("Attempt-Id")) response.set("Attempt-Id", request.get("Attempt-Id"));
-      if (request.get("Expected-Instance", "") != app.id_) {
-        response.setStatusAndReason(static_cast<net::HTTPResponse::HTTPStatus>(421));
-        response.send();
-        return;
-      }
-      {
-        const std::lock_guard<std::mutex> hold(app.lock_);
-        ++app.runs_[request.get("Attempt-Id", "?")];
-      }
-      if (request.getURI().find("slow") != std::string::npos) {
-        std::this_thread::sleep_for(std::chrono::milliseconds(600));
-      }
-      if (request.getURI().find("drop") != std::string::npos) {
-        // Runs it for a while, then closes without a word.
-        std::this_thread::sleep_for(std::chrono::milliseconds(300));
-        static_cast<net::HTTPServerRequestImpl&>(request).detachSocket();
-        return;
-      }
-      response.set("Response-Seal", "sealed");
-      response.setChunkedTransferEncoding(true);
-      response.send() << json{
-          {"by", app.id_},
-          {"caller", request.get("Caller-Service", "")},
-          {"path", request.getURI()},
-          {"hut", request.has("Hut-Rank")},
-          {"id", request.get("Attempt-Id", "")},
-          {"body",
-           body.size()}}.dump();
-    }
-    App& app;
-  };
-  struct Factory : net::HTTPRequestHandlerFactory {
-    explicit Factory(App& a) : app(a) {}
-    net::HTTPRequestHandler* createRequestHandler(const net::HTTPServerRequest&) override {
-      return new Handler(app);
-    }
-    App& app;
-  };
-  std::string ip_;
-  std::string id_;
-  int sequence_ = 0;
-  std::mutex lock_;
-  std::map<std::string, int> runs_;
-  std::unique_ptr<net::HTTPServer> server_;
-};
-
-class Mesh {
- public:
-  // `hosts` is the front of all addresses, such as 127.91.
-  Mesh(std::string program, std::string hosts)
+  /// `hosts` is the first half of all addresses, such as 127.91.
+  NodeProcesses(std::string program, std::string hosts)
       : program_(std::move(program)), hosts_(std::move(hosts)) {
     folder_ = std::filesystem::temp_directory_path() / ("mesh-" + std::to_string(::getpid()));
     std::filesystem::create_directories(folder_);
   }
-  ~Mesh() {
+  ~NodeProcesses() {
     for (const auto& [ip, pid] : running_) ::kill(pid, SIGKILL);
     for (const auto& [ip, pid] : running_) ::waitpid(pid, nullptr, 0);
     std::filesystem::remove_all(folder_);
   }
 
-  // Changes the settings of the nodes started from now on.
+  /// Changes the settings of the nodes started from now on.
   std::function<void(json&)> adjust;
   [[nodiscard]] pid_t pidOf(const std::string& ip) const { return running_.at(ip); }
 
   enum class Kind { core, sidecar, edge };
+  /// Starts a node; `first` says that it may found a new fleet.
   void start(const std::string& ip, Kind kind, bool first) {
     const bool core = kind == Kind::core;
     const auto data = folder_ / ip;
@@ -251,6 +96,7 @@
     running_[ip] = pid;
   }
 
+  /// Sends `signal` and waits for the end; the status of waitpid.
   int stop(const std::string& ip, int signal) {
     const pid_t pid = running_.at(ip);
     running_.erase(ip);
@@ -260,10 +106,12 @@
     return status;
   }
 
+  /// Suspends the process (SIGSTOP) or resumes it (SIGCONT).
   void pause(const std::string& ip, bool on) { ::kill(running_.at(ip), on ? SIGSTOP : SIGCONT); }
 
   [[nodiscard]] std::string dataOf(const std::string& ip) const { return (folder_ / ip).string(); }
 
+  /// Removes what a stopped control node has stored.
   void wipe(const std::string& ip) { std::filesystem::remove_all(folder_ / ip); }
 
  private:
@@ -273,6 +121,8 @@
   std::map<std::string, pid_t> running_;
 };
 
+/// A configuration with a non-idempotent route on `prefix` and an idempotent one on `/safe/`, both
+/// to the service echo, two attempts each.
 inline std::string config(int revision, const std::string& prefix) {
   const json route = {{"name", "r"},           {"hostname", "echo.example"},
                       {"path_prefix", prefix}, {"route_type", "non_idempotent"},
@@ -288,37 +138,4 @@
       .dump();
 }
 
-// What comes back, up to the end, to `until` or to three seconds of silence.
-inline std::string raw(const std::string& address, const std::string& bytes,
-                       const std::string& until = "") {
-  net::StreamSocket socket{net::SocketAddress(address)};
-  socket.setReceiveTimeout(Poco::Timespan(3, 0));
-  socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
-  std::string out;
-  char chunk[1024];
-  try {
-    for (int n = 0; (n = socket.receiveBytes(chunk, sizeof chunk)) > 0;) {
-      out.append(chunk, static_cast<std::size_t>(n));
-      if (!until.empty() && out.find(until) != std::string::npos) break;
-    }
-  } catch (const Poco::Exception&) {
-    out += "(open)";
-  }
-  return out;
-}
-
-template <class Play>
-int runPlay(int argc, char** argv, Play play) {
-  if (argc != 2) return 2;
-  try {
-    play(argv[1]);
-    return 0;
-  } catch (const Failure& failure) {
-    std::cerr << "FAILED: " << failure.what << "\n";
-  } catch (const Poco::Exception& problem) {
-    std::cerr << "FAILED: " << problem.displayText() << "\n";
-  }
-  return 1;
-}
-
 }  // namespace merlingauge::test
--- a/tests/loopback/quorum_loss_test.cpp
+++ b/tests/loopback/quorum_loss_test.cpp
@@ -2,7 +2,7 @@
 // authority lasts. What lay in a socket meanwhile is not answered from what was known before.
 #include <thread>
 
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -34,13 +34,13 @@
 };
 
 void play(const std::string& program) {
-  Mesh mesh(program, "127.98");
+  NodeProcesses mesh(program, "127.98");
   const std::string a = "127.98.0.1";
   const std::string b = "127.98.0.2";
   const std::string c = "127.98.0.3";
   const std::string front = "127.98.0.11";
-  for (const auto& ip : {a, b, c}) mesh.start(ip, Mesh::Kind::core, true);
-  mesh.start(front, Mesh::Kind::sidecar, true);
+  for (const auto& ip : {a, b, c}) mesh.start(ip, NodeProcesses::Kind::core, true);
+  mesh.start(front, NodeProcesses::Kind::sidecar, true);
   const auto put = [&](const std::string& ip, int base, const std::string& body) {
     return call(at(ip, kControl), "POST", "/v1/Configuration.Replace",
                 {{"Base-Revision", std::to_string(base)}}, body)
@@ -58,8 +58,8 @@
            ready(front, kReady) == 200;
   });
   eventually("no route is 404", [&] { return unknownRoute() == 404; });
-  App app("127.98.0.31", "i-1");
-  require(app.beat("available", at(a, kControl)) == 200, "a server beats");
+  StandInServer app("127.98.0.31", "i-1");
+  require(app.sendHeartbeat("available", at(a, kControl)) == 200, "a server beats");
   Kept asks(at(a, kControl));
   Kept leaves(at(a, kControl));
   for (auto* kept : {&asks, &leaves}) {
@@ -86,7 +86,8 @@
   const auto status = json::parse(call(at(a, kControl), "GET", "/v1/Status").body);
   require(status["authority"] == false && status["authority_age_ms"] > 3000,
           "and its status says so");
-  require(app.beat("draining", at(a, kControl)) == 503, "it doesn't acknowledge a leaving");
+  require(app.sendHeartbeat("draining", at(a, kControl)) == 503,
+          "it doesn't acknowledge a leaving");
   eventually("a sidecar that hears only that core doesn't say 404",
              [&] { return unknownRoute() == 503; });
   require(ready(front, kReady) == 200, "but goes on with what it has");
--- a/tests/loopback/scale_run.cpp
+++ b/tests/loopback/scale_run.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 
 #include "loopback/lightweight_node.hpp"
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -325,21 +325,22 @@
       if (node.contains("target_service")) node["target_service"] = "echo";
       settings["policy_terms"]["fault_tolerance"] = {{"machines", (sizes_.cores - 1) / 2}};
     };
-    for (int i = 0; i < sizes_.cores; ++i) mesh_.start(coreIp(i), Mesh::Kind::core, true);
+    for (int i = 0; i < sizes_.cores; ++i) mesh_.start(coreIp(i), NodeProcesses::Kind::core, true);
     waitFor("the first configuration", [&] { return put("Replace", 0, whole().dump()) == 200; });
     const auto from = nowUs();
-    for (int i = 0; i < sizes_.real; ++i) mesh_.start(realIp(i), Mesh::Kind::sidecar, true);
+    for (int i = 0; i < sizes_.real; ++i)
+      mesh_.start(realIp(i), NodeProcesses::Kind::sidecar, true);
     for (int first = 0; first < sizes_.hollow; first += sizes_.perProcess) {
       const int count = std::min(sizes_.perProcess, sizes_.hollow - first);
       hollow_.push_back(std::make_unique<HollowProcess>(self_, first, count, args_));
     }
     for (int i = 0; i < sizes_.real; ++i) {
-      apps_.push_back(std::make_unique<App>(realIp(i), "i-real-" + std::to_string(i)));
+      apps_.push_back(std::make_unique<StandInServer>(realIp(i), "i-real-" + std::to_string(i)));
     }
     beats_ = std::thread([this] {
       while (!over_) {
         for (int i = 0; i < sizes_.real; ++i) {
-          apps_[static_cast<std::size_t>(i)]->beat("available");
+          apps_[static_cast<std::size_t>(i)]->sendHeartbeat("available");
         }
         load();
         std::this_thread::sleep_for(std::chrono::milliseconds(500));
@@ -573,9 +574,9 @@
   Sizes sizes_;
   std::vector<std::string> args_;
   json out_;
-  Mesh mesh_;
+  NodeProcesses mesh_;
   std::vector<std::unique_ptr<HollowProcess>> hollow_;
-  std::vector<std::unique_ptr<App>> apps_;
+  std::vector<std::unique_ptr<StandInServer>> apps_;
   std::thread beats_;
   std::atomic<bool> over_{false};
   std::atomic<int> served_{0};
--- a/tests/loopback/shutdown_test.cpp
+++ b/tests/loopback/shutdown_test.cpp
@@ -5,7 +5,7 @@
 #include <atomic>
 #include <thread>
 
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -21,7 +21,7 @@
     threads_.emplace_back([this] { serve(); });
     threads_.emplace_back([this] {
       for (int i = 0; !stop_; std::this_thread::sleep_for(std::chrono::milliseconds(100))) {
-        if (i++ % 8 == 0) beat();
+        if (i++ % 8 == 0) sendHeartbeat();
       }
     });
   }
@@ -35,7 +35,7 @@
     out.append(big ? 150000 : 300, '.');
     return out + id + " ends";
   }
-  int beat() {
+  int sendHeartbeat() {
     const std::lock_guard<std::mutex> hold(beating_);
     const json body = {
         {"address", at(ip_, kApp)},
@@ -175,15 +175,15 @@
 }
 
 void play(const std::string& program) {
-  Mesh mesh(program, "127.96");
+  NodeProcesses mesh(program, "127.96");
   const std::vector<std::string> cores = {"127.96.0.1", "127.96.0.2", "127.96.0.3"};
   const std::string front = "127.96.0.11";
   const std::string edge = "127.96.0.21";
   const std::vector<std::string> backs = {"127.96.0.12", "127.96.0.13", "127.96.0.14"};
-  for (const auto& ip : cores) mesh.start(ip, Mesh::Kind::core, true);
-  mesh.start(front, Mesh::Kind::sidecar, true);
-  for (const auto& ip : backs) mesh.start(ip, Mesh::Kind::sidecar, true);
-  mesh.start(edge, Mesh::Kind::edge, true);
+  for (const auto& ip : cores) mesh.start(ip, NodeProcesses::Kind::core, true);
+  mesh.start(front, NodeProcesses::Kind::sidecar, true);
+  for (const auto& ip : backs) mesh.start(ip, NodeProcesses::Kind::sidecar, true);
+  mesh.start(edge, NodeProcesses::Kind::edge, true);
   auto routes = json::parse(config(3, "/once/"));
   for (auto& rule : routes["route_rules"]) rule["timeout_s"] = 5.5;
   eventually("the configuration is taken", [&] {
@@ -205,17 +205,17 @@
     const int status = mesh.stop(front, SIGTERM);
     require(WIFEXITED(status) && WEXITSTATUS(status) == 0, "it ends in order");
   });
-  mesh.start(front, Mesh::Kind::sidecar, false);
+  mesh.start(front, NodeProcesses::Kind::sidecar, false);
   underWay("edge", at(edge, kEgress), tellers, [&] {
     const int status = mesh.stop(edge, SIGTERM);
     require(WIFEXITED(status) && WEXITSTATUS(status) == 0, "it ends in order");
   });
   eventually("the egress is back", [&] { return served(at(front, kEgress)); });
   underWay("ingress", at(front, kEgress), tellers, [&] { mesh.stop(backs[0], SIGTERM); });
-  mesh.start(backs[0], Mesh::Kind::sidecar, false);
+  mesh.start(backs[0], NodeProcesses::Kind::sidecar, false);
   underWay("drain", at(front, kEgress), tellers, [&] {
     tellers[1]->drains = true;
-    require(tellers[1]->beat() == 200, "the drain is acknowledged");
+    require(tellers[1]->sendHeartbeat() == 200, "the drain is acknowledged");
   });
 
   // Frozen for longer than every limit, thawed with whatever lies in its sockets.
--- a/tests/loopback/voter_replacement_test.cpp
+++ b/tests/loopback/voter_replacement_test.cpp
@@ -3,7 +3,7 @@
 // planned, and two more stop at once. Orders must go on being taken.
 #include <algorithm>
 
-#include "loopback/node_processes.hpp"
+#include "loopback/play.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -24,12 +24,12 @@
 }
 
 void play(const std::string& program) {
-  Mesh mesh(program, "127.95");
+  NodeProcesses mesh(program, "127.95");
   mesh.adjust = [](json& settings) {
     settings["policy_terms"]["fault_tolerance"] = {{"machines", 2}};
   };
   const auto core = [](int n) { return "127.95.0." + std::to_string(n); };
-  for (int n = 1; n <= 5; ++n) mesh.start(core(n), Mesh::Kind::core, true);
+  for (int n = 1; n <= 5; ++n) mesh.start(core(n), NodeProcesses::Kind::core, true);
   int revision = 0;
   // An operator sends the same again until it has an answer.
   const auto order = [&](const std::string& ip) {
@@ -48,7 +48,7 @@
   // The first of the voters: the duty of keeping them is its own.
   mesh.stop(core(1), SIGKILL);
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
-  mesh.start(core(6), Mesh::Kind::core, false);
+  mesh.start(core(6), NodeProcesses::Kind::core, false);
   const auto started = Watch::now();
   const std::vector<std::string> exchanged = {core(2), core(3), core(4), core(5), core(6)};
   eventually("the successor votes in place of the one that is lost",
@@ -63,7 +63,7 @@
   mesh.pause(core(4), false);
 
   // A sixth is a spare: the voters stay odd.
-  mesh.start(core(7), Mesh::Kind::core, false);
+  mesh.start(core(7), NodeProcesses::Kind::core, false);
   eventually("all are in touch again, with a spare", [&] {
     const auto told = status(core(2));
     int heard = 0;
