--- a/tests/loopback/fault_matrix_test.cpp
+++ b/tests/loopback/fault_matrix_test.cpp
@@ -110,19 +110,19 @@
 class Play {
  public:
   Play(EventLoop& loop, const Case& c, std::size_t number, std::function<void(Play&)> done)
-      : bell_(loop), case_(c), done_(std::move(done)) {
+      : loop_(loop), case_(c), done_(std::move(done)) {
     trap_.step = c.step;
     trap_.fault = c.fault;
     trap_.target = "target";
     trap_.big = c.big;
-    house_ = std::make_unique<House>(
+    path_ = std::make_unique<ProxyPath>(
         loop, number, c.gateway, c.where,
         [this](const auto& at, const auto& to, const auto& other, int i) {
-          links_.push_back(std::make_unique<Link>(bell_, at, to, other, i,
+          links_.push_back(std::make_unique<Link>(loop_, at, to, other, i,
                                                   case_.where == Where::client, ledger_, trap_));
         },
         ledger_);
-    bell_.after(fromMillis(kGiveUpMs), [this] {
+    loop_.after(fromMillis(kGiveUpMs), [this] {
       if (over_) return;
       ledger_.wrong("hung", "waits in stage " + std::to_string(stage_));
       finish();
@@ -138,14 +138,14 @@
 
  private:
   std::unique_ptr<Caller> newCaller() {
-    auto caller = std::make_unique<Caller>(bell_, house_->way(), ledger_);
+    auto caller = std::make_unique<Caller>(loop_, path_->way(), ledger_);
     caller->onIdle = [this] {
       if (std::exchange(asking_, false)) after(0);
     };
     return caller;
   }
   void after(double ms) {
-    bell_.after(fromMillis(ms), [this] {
+    loop_.after(fromMillis(ms), [this] {
       if (!over_) next();
     });
   }
@@ -218,7 +218,7 @@
     for (const auto& id : asked_) judge(id);
     caller_.reset();
     for (const auto& l : links_) l->close();
-    house_->close();
+    path_->close();
     done_(*this);
   }
 
@@ -242,12 +242,12 @@
     if (status == 200 && runs == 0) ledger_.wrong("made up", told);
   }
 
-  EventLoop& bell_;
+  EventLoop& loop_;
   Case case_;
   std::function<void(Play&)> done_;
   Ledger ledger_;
   Trap trap_;
-  std::unique_ptr<House> house_;
+  std::unique_ptr<ProxyPath> path_;
   std::vector<std::unique_ptr<Link>> links_;
   std::unique_ptr<Caller> caller_;
   std::set<std::string> once_;
@@ -258,7 +258,7 @@
   bool over_ = false;
 };
 
-struct Tally {
+struct Totals {
   std::mutex lock;
   std::size_t played = 0;
   std::size_t skipped = 0;
@@ -269,7 +269,7 @@
 };
 
 // Plays its share of the cases on a loop of its own.
-void work(const std::vector<Case>& cases, std::size_t first, std::size_t stride, Tally& tally) {
+void work(const std::vector<Case>& cases, std::size_t first, std::size_t stride, Totals& totals) {
   auto& loop = *new EventLoop;  // lives as long as the plays on it: to the end of the process
   auto& plays = *new std::deque<std::unique_ptr<Play>>;
   std::size_t next = first;
@@ -283,16 +283,16 @@
       const bool once_more =
           !play.struck() && play.ledger().broken.empty() && ++tries[number] < kTries;
       {
-        const std::lock_guard<std::mutex> hold(tally.lock);
-        tally.again += once_more ? 1 : 0;
+        const std::lock_guard<std::mutex> hold(totals.lock);
+        totals.again += once_more ? 1 : 0;
         if (!once_more) {
-          ++tally.played;
-          tally.skipped += play.struck() ? 0 : 1;
-          tally.served += static_cast<std::size_t>(play.served());
-          if (!play.struck()) tally.lines.push_back("never struck: " + play.what().name());
+          ++totals.played;
+          totals.skipped += play.struck() ? 0 : 1;
+          totals.served += static_cast<std::size_t>(play.served());
+          if (!play.struck()) totals.lines.push_back("never struck: " + play.what().name());
           for (const auto& [kind, what] : play.ledger().broken) {
-            ++tally.kinds[kind];
-            tally.lines.push_back(kind + ": " + play.what().name() + ": " + what);
+            ++totals.kinds[kind];
+            totals.lines.push_back(kind + ": " + play.what().name() + ": " + what);
           }
         }
       }
@@ -336,23 +336,23 @@
       return name.find(word) != std::string::npos;
     });
   });
-  auto& tally = *new Tally;
+  auto& totals = *new Totals;
   std::vector<std::thread> threads;
   for (std::size_t i = 0; i < kThreads; ++i) {
-    threads.emplace_back([&, i] { work(cases, i, kThreads, tally); });
+    threads.emplace_back([&, i] { work(cases, i, kThreads, totals); });
   }
   for (auto& thread : threads) thread.join();
-  std::sort(tally.lines.begin(), tally.lines.end());
-  for (std::size_t i = 0; i < std::min<std::size_t>(tally.lines.size(), 60); ++i) {
-    std::cout << tally.lines[i] << "\n";
+  std::sort(totals.lines.begin(), totals.lines.end());
+  for (std::size_t i = 0; i < std::min<std::size_t>(totals.lines.size(), 60); ++i) {
+    std::cout << totals.lines[i] << "\n";
   }
-  std::cout << tally.played << " played, " << tally.skipped << " skipped, " << tally.again
-            << " played again, " << tally.served << " requests served\n";
-  for (const auto& [kind, n] : tally.kinds)
+  std::cout << totals.played << " played, " << totals.skipped << " skipped, " << totals.again
+            << " played again, " << totals.served << " requests served\n";
+  for (const auto& [kind, n] : totals.kinds)
     std::cout << "violations, " << kind << ": " << n << "\n";
-  if (!finds.empty()) return tally.kinds.contains(finds) ? 0 : 1;
-  const bool sound = tally.kinds.empty() && tally.skipped == 0 && tally.played == cases.size() &&
-                     tally.served > 2 * cases.size();
+  if (!finds.empty()) return totals.kinds.contains(finds) ? 0 : 1;
+  const bool sound = totals.kinds.empty() && totals.skipped == 0 && totals.played == cases.size() &&
+                     totals.served > 2 * cases.size();
   return sound ? 0 : 1;
 }
 
--- a/tests/loopback/hostile_input_test.cpp
+++ b/tests/loopback/hostile_input_test.cpp
@@ -86,11 +86,11 @@
  public:
   BadCallers(EventLoop& loop, std::size_t number, bool gateway, int attacks,
              std::function<void()> done)
-      : bell_(loop),
+      : loop_(loop),
         random_(number),
         left_(attacks),
         done_(std::move(done)),
-        house_(loop, number, gateway, std::nullopt, nullptr, ledger_),
+        path_(loop, number, gateway, std::nullopt, nullptr, ledger_),
         gateway_(gateway) {
     caller_ = newCaller();
     next();
@@ -107,35 +107,35 @@
         out.wrong.push_back(kind + ": " + what);
       }
     }
-    if (ledger_.heads > house_.passedOn()) {
+    if (ledger_.heads > path_.passedOn()) {
       out.wrong.push_back("servers read " + std::to_string(ledger_.heads) + " requests, " +
-                          std::to_string(house_.passedOn()) + " were passed on");
+                          std::to_string(path_.passedOn()) + " were passed on");
     }
   }
 
  private:
   std::unique_ptr<Caller> newCaller() {
-    auto caller = std::make_unique<Caller>(bell_, house_.way(), ledger_);
+    auto caller = std::make_unique<Caller>(loop_, path_.way(), ledger_);
     caller->onIdle = [this] {
-      if (std::exchange(asking_, false)) bell_.after(Duration(0), [this] { next(); });
+      if (std::exchange(asking_, false)) loop_.after(Duration(0), [this] { next(); });
     };
     return caller;
   }
   void next() {
     if (left_-- == 0) {
-      house_.close();
+      path_.close();
       done_();
       return;
     }
     // Now and then at the node beside a server: whoever is in reach may call there.
     const bool inside = !gateway_ && below(random_, 3) == 0;
-    bad_ = Plug::dial(bell_, inside ? house_.at(0, kIngressAt) : house_.way());
+    bad_ = Plug::dial(loop_, inside ? path_.at(0, kIngressAt) : path_.way());
     got_.clear();
     bad_->onData = [this] { got_ += std::exchange(bad_->in, ""); };
     const auto text = damagedText(someRequest("x" + std::to_string(left_), random_), random_);
     const auto cut = below(random_, text.size() + 1);
     bad_->write(std::string_view(text).substr(0, cut));
-    bell_.after(fromMillis(1), [this, rest = text.substr(cut)] {
+    loop_.after(fromMillis(1), [this, rest = text.substr(cut)] {
       bad_->write(rest);
       if (below(random_, 4) == 0) bad_->halfClose();
       asking_ = true;
@@ -143,7 +143,7 @@
       if (!caller_->open()) caller_ = newCaller();
       caller_->ask({{once ? "/once/short" : "/safe/short", "honest-" + std::to_string(honest_++)}});
     });
-    bell_.after(fromMillis(kLookMs), [this, plug = bad_, text] {
+    loop_.after(fromMillis(kLookMs), [this, plug = bad_, text] {
       if (plug == bad_) look(text);
       plug->reset();
     });
@@ -158,12 +158,12 @@
     }
   }
 
-  EventLoop& bell_;
+  EventLoop& loop_;
   Random random_;
   int left_;
   std::function<void()> done_;
   Ledger ledger_;
-  House house_;
+  ProxyPath path_;
   bool gateway_;
   std::unique_ptr<Caller> caller_;
   Plug::Ptr bad_;
@@ -177,12 +177,12 @@
  public:
   BadServers(EventLoop& loop, std::size_t number, bool gateway, int rounds,
              std::function<void()> done)
-      : bell_(loop),
+      : loop_(loop),
         random_(number),
         left_(rounds),
         done_(std::move(done)),
-        house_(loop, number, gateway, std::nullopt, nullptr, ledger_) {
-    for (const auto& server : house_.standIns()) {
+        path_(loop, number, gateway, std::nullopt, nullptr, ledger_) {
+    for (const auto& server : path_.standIns()) {
       server->twist = [this](const std::string& id, const std::string& honest) {
         return id[0] == 'x' ? damagedText(someAnswer(honest, id, random_), random_) : honest;
       };
@@ -202,7 +202,7 @@
  private:
   void next() {
     if (left_-- == 0) {
-      house_.close();
+      path_.close();
       done_();
       return;
     }
@@ -215,9 +215,9 @@
   }
   void ask(const std::vector<std::pair<std::string, std::string>>& requests,
            std::function<void()> then) {
-    bell_.after(Duration(0), [this, requests, then = std::move(then)] {
+    loop_.after(Duration(0), [this, requests, then = std::move(then)] {
       if (!caller_ || !caller_->open()) {
-        caller_ = std::make_unique<Caller>(bell_, house_.way(), ledger_);
+        caller_ = std::make_unique<Caller>(loop_, path_.way(), ledger_);
       }
       caller_->onIdle = [then, told = std::make_shared<bool>(false)] {
         if (!std::exchange(*told, true)) then();
@@ -226,12 +226,12 @@
     });
   }
 
-  EventLoop& bell_;
+  EventLoop& loop_;
   Random random_;
   int left_;
   std::function<void()> done_;
   Ledger ledger_;
-  House house_;
+  ProxyPath path_;
   std::unique_ptr<Caller> caller_;
 };
 
--- a/tests/loopback/proxy_path.hpp
+++ b/tests/loopback/proxy_path.hpp
@@ -1,5 +1,5 @@
 // The real path in one process: an egress or an edge, two servers, in a mesh an ingress beside
-// each, put together as the warden does it, with room for a link in front of any of them.
+// each, put together as node::Node does it, with room for a link in front of any of them.
 #pragma once
 
 #include <unistd.h>
@@ -49,7 +49,7 @@
           port};
 }
 
-inline config::RouteTable::Ptr chart() {
+inline config::RouteTable::Ptr echoRoutes() {
   static const auto made = [] {
     const auto rule = [](const char* name, const char* prefix, const char* type) {
       return nlohmann::json{{"name", name},
@@ -70,14 +70,14 @@
   return made;
 }
 
-class House {
+class ProxyPath {
  public:
   // Called where a link is wanted: it relays `at` to `to`; `other` is who may take `at` over.
   using Linker = std::function<void(const SocketAddress& at, const SocketAddress& to,
                                     const SocketAddress& other, int server)>;
-  House(EventLoop& loop, std::size_t number, bool gateway, std::optional<Where> linked, Linker link,
-        Ledger& ledger)
-      : bell_(loop),
+  ProxyPath(EventLoop& loop, std::size_t number, bool gateway, std::optional<Where> linked,
+            Linker link, Ledger& ledger)
+      : loop_(loop),
         number_(number),
         linked_(linked),
         link_(std::move(link)),
@@ -123,14 +123,14 @@
   // Whatever is open ends; the objects stay, for the loop may still know of them.
   void close() {
     for (const auto& server : standIns_) server->close();
-    for (auto& site : sites_) site.door.reset();
+    for (auto& site : sites_) site.listener.reset();
     door_.reset();
   }
 
  private:
   class Routes : public proxy::RouteSource {
    public:
-    [[nodiscard]] config::RouteTable::Ptr routeTable() const override { return chart(); }
+    [[nodiscard]] config::RouteTable::Ptr routeTable() const override { return echoRoutes(); }
     [[nodiscard]] bool isUpToDate() const override { return true; }
   };
   class Instances : public proxy::LocalInstances {
@@ -147,17 +147,17 @@
     const membership::InstanceRegistry& book_;
   };
   struct Site {
-    std::unique_ptr<http::ConnectionPool> ropes;
+    std::unique_ptr<http::ConnectionPool> pool;
     std::unique_ptr<membership::InstanceRegistry> book;
     std::unique_ptr<Instances> instances;
     std::unique_ptr<proxy::Ingress> ingress;
-    std::unique_ptr<http::HttpListener> door;
+    std::unique_ptr<http::HttpListener> listener;
   };
   static membership::NodeInfo facts(const char* id) {
     return {NodeId(id), ZoneName("z"), false, false, false, 0, Incarnation{}};
   }
   void stand(int i, std::uint16_t port, const std::string& id) {
-    standIns_.push_back(std::make_unique<StandIn>(bell_, at(i, port), id, i, ledger_));
+    standIns_.push_back(std::make_unique<StandIn>(loop_, at(i, port), id, i, ledger_));
   }
   void addServer(int i, bool gateway) {
     membership::Instance server;
@@ -167,7 +167,7 @@
     server.zone = ZoneName("z");
     server.capacity = 64;
     server.sequence = 1;
-    book_.handleHeartbeat(server, bell_.now());
+    book_.handleHeartbeat(server, loop_.now());
     const bool here = linked_ == Where::server;
     stand(i, here ? kAppBehind : kAppAt, server.id.str());
     if (here) {
@@ -176,26 +176,28 @@
     }
     if (gateway) return;
     auto& site = sites_.at(static_cast<std::size_t>(i));
-    site.ropes = std::make_unique<http::ConnectionPool>(
-        bell_, http::ConnectionPool::Options{
+    site.pool = std::make_unique<http::ConnectionPool>(
+        loop_, http::ConnectionPool::Options{
                    std::chrono::milliseconds(400), std::chrono::seconds(20), 64, {}});
     site.book = std::make_unique<membership::InstanceRegistry>(facts("s"), Incarnation{1});
-    site.book->handleHeartbeat(server, bell_.now());
+    site.book->handleHeartbeat(server, loop_.now());
     site.instances = std::make_unique<Instances>(*site.book);
     site.ingress = std::make_unique<proxy::Ingress>(
-        bell_, *site.ropes, *site.instances,
+        loop_, *site.pool, *site.instances,
         proxy::IngressOptions{server.address, std::chrono::seconds(1)});
-    site.ingress->onInstanceUpdate(server, bell_.now());
+    site.ingress->onInstanceUpdate(server, loop_.now());
     const bool before = linked_ == Where::ingress;
-    site.door = std::make_unique<http::HttpListener>(
-        bell_, at(i, before ? kIngressBehind : kIngressAt), 64);
-    site.door->context->onExchange = [in = site.ingress.get()](const auto& v) { in->handle(v); };
-    site.door->context->limits.maxHeadBytes = 128 * 1024;
+    site.listener = std::make_unique<http::HttpListener>(
+        loop_, at(i, before ? kIngressBehind : kIngressAt), 64);
+    site.listener->context->onExchange = [in = site.ingress.get()](const auto& v) {
+      in->handle(v);
+    };
+    site.listener->context->limits.maxHeadBytes = 128 * 1024;
     // Who takes the address over is the node beside the other server.
     if (before) link_(at(i, kIngressAt), at(i, kIngressBehind), at(1 - i, kIngressBehind), i);
   }
 
-  EventLoop& bell_;
+  EventLoop& loop_;
   std::size_t number_;
   std::optional<Where> linked_;
   Linker link_;
