--- a/tests/simulation/explorer/exploration.cpp
+++ b/tests/simulation/explorer/exploration.cpp
@@ -101,11 +101,11 @@
 void Exploration::report(std::map<std::string, double>& measured) const {
   measured["states"] = static_cast<double>(states_);
   measured["depth"] = static_cast<double>(depth_);
-  measured["whole"] = complete_ ? 1 : 0;
-  measured["tried"] = static_cast<double>(searchSteps_);
-  measured["walked"] = static_cast<double>(walkSteps_);
+  measured["complete"] = complete_ ? 1 : 0;
+  measured["search_steps"] = static_cast<double>(searchSteps_);
+  measured["walk_steps"] = static_cast<double>(walkSteps_);
   measured["acked"] = static_cast<double>(acknowledged_);
-  measured["refused"] = static_cast<double>(rejected_);
+  measured["rejected"] = static_cast<double>(rejected_);
 }
 
 }  // namespace merlingauge::test::explorer
--- a/tests/simulation/explorer/invariants.cpp
+++ b/tests/simulation/explorer/invariants.cpp
@@ -70,7 +70,7 @@
   editor_.edit(state.history,
                [&value](History& history) { history.chosen.emplace(value.sequence, value); });
   for (const auto& tag : state.history->rejected) {
-    if (hasTag(value, tag)) state.violation = "a refused change is in force";
+    if (hasTag(value, tag)) state.violation = "a rejected change is in force";
   }
 }
 
@@ -92,7 +92,7 @@
   const auto& tag = scope_.tasks[proposer].tag;
   editor_.edit(state.history, [&tag](History& history) { history.rejected.insert(tag); });
   for (const auto& [sequence, value] : state.history->chosen) {
-    if (hasTag(value, tag)) state.violation = "a refused change is in force";
+    if (hasTag(value, tag)) state.violation = "a rejected change is in force";
   }
 }
 
--- a/tests/simulation/explorer/model.cpp
+++ b/tests/simulation/explorer/model.cpp
@@ -33,7 +33,7 @@
     case Step::Kind::timeout:
       proposers_.timeOut(state, step.subject);
       break;
-    case Step::Kind::again: {
+    case Step::Kind::duplicate: {
       ++state.duplicates;
       const auto message = state.inFlight[step.subject];
       deliver(state, *message);
@@ -51,13 +51,13 @@
     case Step::Kind::crash:
       acceptors_.crash(state, step.subject);
       break;
-    case Step::Kind::wipe:
+    case Step::Kind::loseDisk:
       acceptors_.loseDisk(state, step.subject);
       break;
     case Step::Kind::rejoin:
       acceptors_.askToRejoin(state, step.subject);
       break;
-    case Step::Kind::news: {
+    case Step::Kind::gossip: {
       const auto value = state.nodes[step.subject]->known;
       editor_.edit(state.nodes[step.object], [&value](Node& node) { node.known = value; });
       break;
--- a/tests/simulation/explorer/scope.cpp
+++ b/tests/simulation/explorer/scope.cpp
@@ -8,10 +8,13 @@
 namespace {
 PlantedFault faultNamed(const std::string& name) {
   static const std::map<std::string, PlantedFault> kFaults = {
-      {"forgetful", PlantedFault::forgottenDisk}, {"lives", PlantedFault::hiddenIncarnations},
-      {"late", PlantedFault::lateReply},          {"one-majority", PlantedFault::oneMajority},
-      {"refusal", PlantedFault::earlyRejection},  {"unread", PlantedFault::unreadVoters},
-      {"unsynced", PlantedFault::unsyncedReplies}};
+      {"forgotten_disk", PlantedFault::forgottenDisk},
+      {"hidden_incarnations", PlantedFault::hiddenIncarnations},
+      {"late_reply", PlantedFault::lateReply},
+      {"one_majority", PlantedFault::oneMajority},
+      {"early_rejection", PlantedFault::earlyRejection},
+      {"unread_voters", PlantedFault::unreadVoters},
+      {"unsynced_replies", PlantedFault::unsyncedReplies}};
   const auto found = kFaults.find(name);
   if (found == kFaults.end()) throw Broken{"no such fault: " + name};
   return found->second;
@@ -28,9 +31,9 @@
     if (i <= voters) firstVoters.push_back(ids.back());
   }
   for (const auto& line : scenario.lines) addTask(line.words);
-  diskLosses = static_cast<int>(number(scenario, "wipes", 0));
+  diskLosses = static_cast<int>(number(scenario, "disk_losses", 0));
   crashes = static_cast<int>(number(scenario, "crashes", 0));
-  duplicates = static_cast<int>(number(scenario, "twice", 0));
+  duplicates = static_cast<int>(number(scenario, "duplicates", 0));
   rounds = static_cast<int>(number(scenario, "rounds", 1));
   syncsAreSteps = number(scenario, "syncs", 0) > 0;
   heals = number(scenario, "heal", 1) >= 1;
--- a/tests/simulation/explorer/scope.hpp
+++ b/tests/simulation/explorer/scope.hpp
@@ -14,13 +14,13 @@
 /// Planted on purpose: the exploration must find a violation.
 enum class PlantedFault : std::uint8_t {
   none,
-  forgottenDisk,       ///< `forgetful`: a voter that lost its disk votes as if nothing had been
-  hiddenIncarnations,  ///< `lives`: replies say nothing of incarnations
-  lateReply,           ///< `late`: a promise that comes late counts as an acceptance
-  oneMajority,         ///< `one-majority`: new voters take over without the old ones
-  earlyRejection,      ///< `refusal`: rejected as soon as a majority has been read
-  unreadVoters,        ///< `unread`: new voters vote without having read from the old ones
-  unsyncedReplies,     ///< `unsynced`: replies do not wait for the disk
+  forgottenDisk,  ///< `forgotten_disk`: a voter that lost its disk votes as if nothing had been
+  hiddenIncarnations,  ///< `hidden_incarnations`: replies say nothing of incarnations
+  lateReply,           ///< `late_reply`: a promise that comes late counts as an acceptance
+  oneMajority,         ///< `one_majority`: new voters take over without the old ones
+  earlyRejection,      ///< `early_rejection`: rejected as soon as a majority has been read
+  unreadVoters,        ///< `unread_voters`: new voters vote without having read from the old ones
+  unsyncedReplies,     ///< `unsynced_replies`: replies do not wait for the disk
 };
 
 /// What one proposer does.
@@ -46,9 +46,9 @@
   std::vector<NodeId> firstVoters;
   std::vector<NodeId> nextVoters;  ///< after a change of voters
   std::vector<Task> tasks;
-  int diskLosses = 0;          ///< `wipes`
+  int diskLosses = 0;          ///< `disk_losses`
   int crashes = 0;             ///< `crashes`
-  int duplicates = 0;          ///< `twice`: messages delivered a second time
+  int duplicates = 0;          ///< `duplicates`: messages delivered a second time
   int rounds = 1;              ///< `rounds` of each proposer
   bool syncsAreSteps = false;  ///< `syncs`: otherwise the disk syncs at once
   bool heals = true;           ///< `heal 0`: no read after the faults have ended
--- a/tests/simulation/explorer/steps.cpp
+++ b/tests/simulation/explorer/steps.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 /// In the order of Step::Kind.
-constexpr const char* kStepNames[] = {"start", "deliver", "again",  "timeout", "sync",
-                                      "crash", "wipe",    "rejoin", "news"};
+constexpr const char* kStepNames[] = {"start", "deliver",   "duplicate", "timeout", "sync",
+                                      "crash", "lose_disk", "rejoin",    "gossip"};
 }  // namespace
 
 std::vector<Step> StepLister::stepsOf(const State& state) const {
@@ -28,7 +28,7 @@
   }
   for (std::size_t i = 0; i < state.inFlight.size(); ++i) {
     steps.push_back({Step::Kind::deliver, i, 0});
-    if (state.duplicates < scope_.duplicates) steps.push_back({Step::Kind::again, i, 0});
+    if (state.duplicates < scope_.duplicates) steps.push_back({Step::Kind::duplicate, i, 0});
   }
   for (std::size_t i = 0; i < scope_.tasks.size(); ++i) {
     const auto& proposing = *state.proposers[i];
@@ -46,15 +46,15 @@
   if (state.crashes < scope_.crashes) steps.push_back({Step::Kind::crash, place, 0});
   if (state.diskLosses < scope_.diskLosses &&
       (unrecovered < scope_.mostUnrecovered || !recovered)) {
-    steps.push_back({Step::Kind::wipe, place, 0});
+    steps.push_back({Step::Kind::loseDisk, place, 0});
   }
   if (!recovered && hasVoterToAsk(node, scope_.ids[place])) {
     steps.push_back({Step::Kind::rejoin, place, 0});
   }
   for (std::size_t other = 0; other < scope_.ids.size(); ++other) {
     const bool isNewer = node.known.sequence > state.nodes[other]->known.sequence;
-    if (isNewer && listensToNews(state, other)) {
-      steps.push_back({Step::Kind::news, place, other});
+    if (isNewer && listensToGossip(state, other)) {
+      steps.push_back({Step::Kind::gossip, place, other});
     }
   }
 }
@@ -72,8 +72,8 @@
   });
 }
 
-/// News matters to nodes that will yet start from what they know.
-bool StepLister::listensToNews(const State& state, std::size_t node) const {
+/// Gossip matters to nodes that will yet start from what they know.
+bool StepLister::listensToGossip(const State& state, std::size_t node) const {
   if (!state.nodes[node]->acceptor.recovered()) return true;
   for (std::size_t i = 0; i < scope_.tasks.size(); ++i) {
     if (scope_.tasks[i].node == node && !state.proposers[i]->proposer) return true;
@@ -88,9 +88,9 @@
     case Step::Kind::timeout:
       return name + "p" + std::to_string(step.subject + 1);
     case Step::Kind::deliver:
-    case Step::Kind::again:
+    case Step::Kind::duplicate:
       return name + state.inFlight[step.subject]->name;
-    case Step::Kind::news:
+    case Step::Kind::gossip:
       return name + scope_.ids[step.subject].str() + " " + scope_.ids[step.object].str();
     default:
       return name + scope_.ids[step.subject].str();
--- a/tests/simulation/explorer/steps.hpp
+++ b/tests/simulation/explorer/steps.hpp
@@ -15,19 +15,19 @@
   enum class Kind : std::uint8_t {
     start,
     deliver,
-    again,  ///< a message is delivered, and stays in flight
+    duplicate,  ///< a message is delivered, and stays in flight
     timeout,
     sync,
     crash,
-    wipe,    ///< a crash that loses the disk
-    rejoin,  ///< a node that lost its disk asks the others
-    news,    ///< what one node knows reaches another one, as by gossip
+    loseDisk,  ///< a crash that loses the disk
+    rejoin,    ///< a node that lost its disk asks the others
+    gossip,    ///< what one node knows reaches another one, by gossip
   };
   Kind kind = Kind::start;
   std::size_t subject = 0;  ///< a proposer, a node or a place among the messages in flight
-  std::size_t object = 0;   ///< of news: the node that learns
+  std::size_t object = 0;   ///< of gossip: the node that learns
 
-  [[nodiscard]] bool isDelivery() const { return kind == Kind::deliver || kind == Kind::again; }
+  [[nodiscard]] bool isDelivery() const { return kind == Kind::deliver || kind == Kind::duplicate; }
 };
 
 class StepLister {
@@ -45,7 +45,7 @@
   void addNodeSteps(const State& state, std::size_t place, std::size_t unrecovered,
                     std::vector<Step>& steps) const;
   [[nodiscard]] bool canStart(const State& state, const Task& task) const;
-  [[nodiscard]] bool listensToNews(const State& state, std::size_t node) const;
+  [[nodiscard]] bool listensToGossip(const State& state, std::size_t node) const;
   [[nodiscard]] bool hasVoterToAsk(const Node& node, const NodeId& self) const;
 
   const Scope& scope_;
--- a/tests/simulation/explorer/wire.cpp
+++ b/tests/simulation/explorer/wire.cpp
@@ -16,7 +16,7 @@
 std::string Wire::nameOf(const Message& message) const {
   const auto sender = message.isOfRejoin() ? scope_.ids[message.sender].str()
                                            : "p" + std::to_string(message.sender + 1);
-  return (message.isReply() ? "answer " : "") +
+  return (message.isReply() ? "reply " : "") +
          std::string(kRequestNames[static_cast<int>(message.request.kind)]) + " " + sender + "." +
          std::to_string(message.round & kRoundMask) + " " + scope_.ids[message.voter].str();
 }
--- a/tests/simulation/register/fault_sequence.cpp
+++ b/tests/simulation/register/fault_sequence.cpp
@@ -90,13 +90,13 @@
 FaultSequence::PlannedFault FaultSequence::loseDisk(Machine& machine, double atMs) {
   const double awayMs = clock_.uniform(100, 2000);
   clock_.after(atMs, [this, &machine, awayMs] { fleet_.stop(machine, true, awayMs); });
-  return {" wipe " + machine.id.str(), atMs + awayMs};
+  return {" lose disk " + machine.id.str(), atMs + awayMs};
 }
 
 FaultSequence::PlannedFault FaultSequence::restart(Machine& machine, double atMs) {
   const double awayMs = clock_.uniform(300, 4000);
   clock_.after(atMs, [this, &machine, awayMs] { fleet_.leave(machine, awayMs); });
-  return {" roll " + machine.id.str(), atMs + kPlannedLeaveAfter + awayMs};
+  return {" restart " + machine.id.str(), atMs + kPlannedLeaveAfter + awayMs};
 }
 
 FaultSequence::PlannedFault FaultSequence::freeze(Machine& machine, double atMs) {
@@ -128,12 +128,13 @@
     const bool isAcknowledged = std::any_of(calls->begin(), calls->end(), [](const CallPtr& call) {
       return call->outcome == Call::Outcome::acknowledged;
     });
-    if (!isAcknowledged) checker_.addProblem("no order taken with f more lost, after" + after);
+    if (!isAcknowledged)
+      checker_.addProblem("no change acknowledged with f more lost, after" + after);
   });
 }
 
 void FaultSequence::report(std::map<std::string, double>& measured) const {
-  measured["borne"] = lossesTolerated_;
+  measured["losses_tolerated"] = lossesTolerated_;
 }
 
 }  // namespace merlingauge::test::register_world
--- a/tests/simulation/register/fault_sequence.hpp
+++ b/tests/simulation/register/fault_sequence.hpp
@@ -12,8 +12,8 @@
 
 namespace merlingauge::test::register_world {
 
-/// `troubles N`: so many rounds of faults. `catch_up MS`: the time after each to recover in, before
-/// the register has to bear the loss of as many machines again as it tolerates.
+/// `fault_rounds N`: so many rounds of faults. `catch_up MS`: the time after each to recover in,
+/// before the register has to tolerate the loss of as many machines again as it tolerates.
 class FaultSequence {
  public:
   FaultSequence(const Scenario& scenario, Clock& clock, Fleet& fleet, Network& network,
--- a/tests/simulation/register/fleet.cpp
+++ b/tests/simulation/register/fleet.cpp
@@ -140,16 +140,16 @@
 }
 
 void Fleet::report(std::map<std::string, double>& measured) const {
-  double behind = 0;
+  double catchingUp = 0;
   double recovered = 0;
   for (const auto& machine : machines_) {
     if (!machine->acceptor) continue;
-    behind += machine->catchingUpSinceMs >= 0 ? 1 : 0;
+    catchingUp += machine->catchingUpSinceMs >= 0 ? 1 : 0;
     recovered += machine->acceptor->recovered() ? 1 : 0;
   }
-  measured["awake"] = recovered;
-  measured["behind"] = behind;
-  measured["lives"] = static_cast<double>(mostIncarnationsKept());
+  measured["recovered"] = recovered;
+  measured["catching_up"] = catchingUp;
+  measured["most_incarnations"] = static_cast<double>(mostIncarnationsKept());
   measured["boots"] = boots_;
   measured["catch_up_ms"] = slowestCatchUpMs_;
 }
--- a/tests/simulation/register/history_checker.cpp
+++ b/tests/simulation/register/history_checker.cpp
@@ -43,7 +43,7 @@
     for (const auto& second : calls) {
       const bool areRivals = isAcknowledgedChange(*second) && second->digest != first->digest;
       require(!areRivals || second->base != first->base,
-              "two changes on version " + std::to_string(first->base) + " were both acknowledged");
+              "two changes on revision " + std::to_string(first->base) + " were both acknowledged");
     }
   }
 }
@@ -79,7 +79,7 @@
     for (const auto& entry : call->seen.history->entries()) {
       const auto [known, isNew] = changeByRevision_.emplace(entry.revision.value, entry.digest);
       require(known->second == entry.digest,
-              "two orders made version " + std::to_string(entry.revision.value));
+              "two changes made revision " + std::to_string(entry.revision.value));
       if (isNew && before != nullptr) baseByChange_[entry.digest] = before->revision.value;
       before = &entry;
     }
@@ -93,15 +93,16 @@
   for (const auto& call : calls) {
     if (call->isRead) continue;
     const bool isInForce = committed.contains(call->digest);
-    require(call->outcome != Call::Outcome::rejected || !isInForce, "a refused order is in force");
+    require(call->outcome != Call::Outcome::rejected || !isInForce,
+            "a rejected change is in force");
     const auto base = baseByChange_.find(call->digest);
     require(base == baseByChange_.end() || base->second == call->base,
-            "an order was built on another version than its base");
+            "a change was built on another revision than its base");
   }
 }
 
 void HistoryChecker::report(std::map<std::string, double>& measured) const {
-  measured["versions"] = static_cast<double>(changeByRevision_.size());
+  measured["revisions"] = static_cast<double>(changeByRevision_.size());
 }
 
 }  // namespace merlingauge::test::register_world
--- a/tests/simulation/register/operators.cpp
+++ b/tests/simulation/register/operators.cpp
@@ -112,9 +112,9 @@
 }
 
 void Operators::report(std::map<std::string, double>& measured) const {
-  measured["again_acked"] = countRepeated(Call::Outcome::acknowledged);
-  measured["again_refused"] = countRepeated(Call::Outcome::rejected);
-  measured["again_unclear"] = countRepeated(Call::Outcome::unclear);
+  measured["repeated_acked"] = countRepeated(Call::Outcome::acknowledged);
+  measured["repeated_rejected"] = countRepeated(Call::Outcome::rejected);
+  measured["repeated_unclear"] = countRepeated(Call::Outcome::unclear);
 }
 
 }  // namespace merlingauge::test::register_world
--- a/tests/simulation/register/planted_fault.cpp
+++ b/tests/simulation/register/planted_fault.cpp
@@ -7,14 +7,14 @@
 
 PlantedFault plantedFaultOf(const Scenario& scenario) {
   static const std::map<std::string, PlantedFault> kFaults = {
-      {"forgetful", PlantedFault::forgottenDisk},
-      {"forget_orders", PlantedFault::forgottenChanges},
-      {"untold", PlantedFault::hiddenIncarnations},
-      {"oldrule", PlantedFault::oldVoterRule},
-      {"onemajority", PlantedFault::oneMajority},
-      {"refuse_ahead", PlantedFault::rejectedAhead},
-      {"unfenced", PlantedFault::unfencedSnapshot},
-      {"unsynced", PlantedFault::unsyncedReplies}};
+      {"forgotten_disk", PlantedFault::forgottenDisk},
+      {"forgotten_changes", PlantedFault::forgottenChanges},
+      {"hidden_incarnations", PlantedFault::hiddenIncarnations},
+      {"old_voter_rule", PlantedFault::oldVoterRule},
+      {"one_majority", PlantedFault::oneMajority},
+      {"rejected_ahead", PlantedFault::rejectedAhead},
+      {"unfenced_snapshot", PlantedFault::unfencedSnapshot},
+      {"unsynced_replies", PlantedFault::unsyncedReplies}};
   const auto lines = linesOf(scenario, "fault");
   if (lines.empty()) return PlantedFault::none;
   const auto& name = lines[0]->words.at(1);
--- a/tests/simulation/register/planted_fault.hpp
+++ b/tests/simulation/register/planted_fault.hpp
@@ -9,14 +9,15 @@
 
 enum class PlantedFault : std::uint8_t {
   none,
-  forgottenDisk,       ///< `forgetful`: a voter that lost its disk votes as if nothing had been
-  forgottenChanges,    ///< `forget_orders`: few changes are remembered, unknown ones are rejected
-  hiddenIncarnations,  ///< `untold`: replies say nothing of incarnations
-  oldVoterRule,        ///< `oldrule`: voters are chosen by the rule that was replaced
-  oneMajority,         ///< `onemajority`: new voters take over without the old ones
-  rejectedAhead,       ///< `refuse_ahead`: a change on a base not yet committed is a conflict
-  unfencedSnapshot,    ///< `unfenced`: a restored disk keeps the incarnation it was saved under
-  unsyncedReplies,     ///< `unsynced`: replies do not wait for the disk
+  forgottenDisk,     ///< `forgotten_disk`: a voter that lost its disk votes as if nothing had been
+  forgottenChanges,  ///< `forgotten_changes`: few changes are remembered, unknown ones are rejected
+  hiddenIncarnations,  ///< `hidden_incarnations`: replies say nothing of incarnations
+  oldVoterRule,        ///< `old_voter_rule`: voters are chosen by the rule that was replaced
+  oneMajority,         ///< `one_majority`: new voters take over without the old ones
+  rejectedAhead,       ///< `rejected_ahead`: a change on a base not yet committed is a conflict
+  unfencedSnapshot,    ///< `unfenced_snapshot`: a restored disk keeps the incarnation it was saved
+                       ///< under
+  unsyncedReplies,     ///< `unsynced_replies`: replies do not wait for the disk
 };
 
 /// The word of the line `fault WORD`; none without such a line.
--- a/tests/simulation/register/proposal_runner.cpp
+++ b/tests/simulation/register/proposal_runner.cpp
@@ -30,7 +30,7 @@
       fleet_(fleet),
       network_(network),
       acceptors_(acceptors),
-      passOnChance_(number(scenario, "news", 0)) {}
+      passOnChance_(number(scenario, "gossip", 0)) {}
 
 void ProposalRunner::run(Machine& machine, const CallPtr& call, Proposer::ChangeFunction change,
                          std::function<void()> onCommitted) {
@@ -160,7 +160,7 @@
   }
   measured["acked"] = acknowledged;
   measured["reads"] = reads;
-  measured["refused"] = rejected;
+  measured["rejected"] = rejected;
   measured["unclear"] = unclear;
   measured["kilobytes"] = sentBytes_ / kBytesPerKilobyte;
 }
--- a/tests/simulation/register/proposal_runner.hpp
+++ b/tests/simulation/register/proposal_runner.hpp
@@ -15,8 +15,8 @@
 
 namespace merlingauge::test::register_world {
 
-/// `news SHARE`: a committed value is passed on to each machine with that chance; and proposers are
-/// offered the history that the machine has cached.
+/// `gossip SHARE`: a committed value is passed on to each machine with that chance; and proposers
+/// are offered the history that the machine has cached.
 class ProposalRunner {
  public:
   ProposalRunner(const Scenario& scenario, Clock& clock, Fleet& fleet, Network& network,
--- a/tests/simulation/register/register_world.cpp
+++ b/tests/simulation/register/register_world.cpp
@@ -45,7 +45,7 @@
     const double lengthMs = number(scenario_, "length", 6000);
     actions_.schedule(scenario_, lengthMs * kBusyShare);
     operators_.start(lengthMs * kBusyShare);
-    for (const auto* line : linesOf(scenario_, "troubles")) {
+    for (const auto* line : linesOf(scenario_, "fault_rounds")) {
       faults_.start(std::stoi(line->words.at(1)));
     }
     maintenance_.tick();
--- a/tests/simulation/register/scenario_actions.cpp
+++ b/tests/simulation/register/scenario_actions.cpp
@@ -21,15 +21,23 @@
 
 ScenarioActions::Action ScenarioActions::actionOf(const std::string& name) {
   static const std::map<std::string, Action> kActions = {
-      {"put", &ScenarioActions::put},       {"older", &ScenarioActions::older},
-      {"read", &ScenarioActions::read},     {"kill", &ScenarioActions::kill},
-      {"power", &ScenarioActions::kill},    {"wipe", &ScenarioActions::wipe},
-      {"snap", &ScenarioActions::snap},     {"back", &ScenarioActions::back},
-      {"hang", &ScenarioActions::hang},     {"full", &ScenarioActions::full},
-      {"freeze", &ScenarioActions::freeze}, {"cut", &ScenarioActions::cut},
-      {"voters", &ScenarioActions::voters}, {"gone", &ScenarioActions::gone},
-      {"start", &ScenarioActions::start},   {"leave", &ScenarioActions::leave},
-      {"bear", &ScenarioActions::bear}};
+      {"put", &ScenarioActions::put},
+      {"previous_format", &ScenarioActions::previousFormat},
+      {"read", &ScenarioActions::read},
+      {"kill", &ScenarioActions::kill},
+      {"power_loss", &ScenarioActions::kill},
+      {"lose_disk", &ScenarioActions::loseDisk},
+      {"snapshot", &ScenarioActions::snapshot},
+      {"restore", &ScenarioActions::restore},
+      {"hang", &ScenarioActions::hang},
+      {"full", &ScenarioActions::full},
+      {"freeze", &ScenarioActions::freeze},
+      {"cut", &ScenarioActions::cut},
+      {"voters", &ScenarioActions::voters},
+      {"remove", &ScenarioActions::remove},
+      {"start", &ScenarioActions::start},
+      {"leave", &ScenarioActions::leave},
+      {"tolerate", &ScenarioActions::tolerate}};
   const auto found = kActions.find(name);
   if (found == kActions.end()) throw Broken{"no such thing to do: " + name};
   return found->second;
@@ -41,8 +49,10 @@
   }
   for (const auto* line : linesOf(scenario, "every")) {
     const double intervalMs = std::stod(line->words.at(kTime));
-    for (double atMs = intervalMs; atMs < untilMs; atMs += intervalMs) {
+    double atMs = intervalMs;
+    while (atMs < untilMs) {
       scheduleOnce(atMs, line->words);
+      atMs += intervalMs;
     }
   }
 }
@@ -67,7 +77,7 @@
   parts_.client.change(machineOf(words), {base, revision, name});
 }
 
-void ScenarioActions::older(const Words& /*words*/) {
+void ScenarioActions::previousFormat(const Words& /*words*/) {
   for (const auto& machine : parts_.fleet.machines()) {
     if (machine->disk) machine->disk->head = inPreviousFormat(machine->disk->head);
   }
@@ -79,16 +89,16 @@
   parts_.fleet.stop(machineOf(words), false, durationMs(words));
 }
 
-void ScenarioActions::wipe(const Words& words) {
+void ScenarioActions::loseDisk(const Words& words) {
   parts_.fleet.stop(machineOf(words), true, durationMs(words));
 }
 
-void ScenarioActions::snap(const Words& words) {
+void ScenarioActions::snapshot(const Words& words) {
   auto& machine = machineOf(words);
   machine.snapshot = machine.disk;
 }
 
-void ScenarioActions::back(const Words& words) {
+void ScenarioActions::restore(const Words& words) {
   auto& machine = machineOf(words);
   parts_.fleet.stop(machine, true, durationMs(words));
   if (!machine.snapshot) return;
@@ -126,7 +136,7 @@
   parts_.client.changeVoters(machineOf(words), voters);
 }
 
-void ScenarioActions::gone(const Words& words) {
+void ScenarioActions::remove(const Words& words) {
   parts_.fleet.stop(machineOf(words), true, kForGoodMs);
 }
 
@@ -136,7 +146,7 @@
   parts_.fleet.leave(machineOf(words), durationMs(words));
 }
 
-void ScenarioActions::bear(const Words& words) {
+void ScenarioActions::tolerate(const Words& words) {
   parts_.faults.requireTolerates(std::stoul(argument(words, 0)), durationMs(words), "by hand");
 }
 
--- a/tests/simulation/register/scenario_actions.hpp
+++ b/tests/simulation/register/scenario_actions.hpp
@@ -38,18 +38,18 @@
 
   /// put NODE BASE REVISION [NAME]: a change; with a name, one that may be sent more than once
   void put(const Words& words);
-  /// older: all disks hold the state as the version of the program before wrote it
-  void older(const Words& words);
+  /// previous_format: all disks hold the state as the version of the program before wrote it
+  void previousFormat(const Words& words);
   /// read NODE
   void read(const Words& words);
-  /// kill NODE MS, power NODE MS: down for so long
+  /// kill NODE MS, power_loss NODE MS: down for so long
   void kill(const Words& words);
-  /// wipe NODE MS: down for so long, and its disk is lost
-  void wipe(const Words& words);
-  /// snap NODE: a snapshot of its disk
-  void snap(const Words& words);
-  /// back NODE MS: down for so long, and its disk is restored from the snapshot
-  void back(const Words& words);
+  /// lose_disk NODE MS: down for so long, and its disk is lost
+  void loseDisk(const Words& words);
+  /// snapshot NODE: a snapshot of its disk
+  void snapshot(const Words& words);
+  /// restore NODE MS: down for so long, and its disk is restored from the snapshot
+  void restore(const Words& words);
   /// hang NODE MS: its disk answers nothing for so long
   void hang(const Words& words);
   /// full NODE MS
@@ -60,14 +60,14 @@
   void cut(const Words& words);
   /// voters NODE n1 n2 ...
   void voters(const Words& words);
-  /// gone NODE: for good
-  void gone(const Words& words);
+  /// remove NODE: for good
+  void remove(const Words& words);
   /// start NODE: one that was never started
   void start(const Words& words);
   /// leave NODE MS: for so long; 0: for good
   void leave(const Words& words);
-  /// bear COUNT MS: so many are frozen, and a change must be acknowledged
-  void bear(const Words& words);
+  /// tolerate COUNT MS: so many are frozen, and a change must be acknowledged
+  void tolerate(const Words& words);
 
   Parts parts_;
 };
