--- a/tests/loopback/hostile_input_test.cpp
+++ b/tests/loopback/hostile_input_test.cpp
@@ -1,7 +1,7 @@
 // Bad input from a seeded generator, beside the cases written by hand in scenarios/heads.txt: to
 // the ways in of the real path, to whoever reads a server's answers, and to whoever reads what
 // nodes say to each other. Always a clear answer or a closed connection, never a byte to the wrong
-// caller, never a crash.
+// client, never a crash.
 //   hostile_input_test SEEDS
 #include <algorithm>
 #include <csignal>
@@ -11,6 +11,7 @@
 #include "loopback/damaged_messages.hpp"
 #include "loopback/hostile_peers.hpp"
 #include "loopback/proxy_path.hpp"
+#include "loopback/scripted_client.hpp"
 
 namespace merlingauge::test {
 namespace {
@@ -55,13 +56,13 @@
       "HTTP/1.1 200 OK\r\nAttempt-Id: " + id + "\r\nResponse-Seal: seal " + id + "\r\n";
   switch (below(random, 7)) {
     case 0:
-      return head + "Transfer-Encoding: chunked\r\n\r\n" + asChunks(answerBody(id, false));
+      return head + "Transfer-Encoding: chunked\r\n\r\n" + asChunks(responseBody(id, false));
     case 1:
       return "HTTP/1.1 102 Processing\r\n\r\n" + honest;
     case 2:
       return "HTTP/1.1 204 No Content\r\nAttempt-Id: " + id + "\r\nResponse-Seal: s\r\n\r\n";
     case 3:
-      return honest + answerTo("stray", false);
+      return honest + responseTo("stray", false);
     case 4:
       return "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: " + id +
              "\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -92,7 +93,7 @@
         done_(std::move(done)),
         path_(loop, number, gateway, std::nullopt, nullptr, ledger_),
         gateway_(gateway) {
-    caller_ = newCaller();
+    client_ = newClient();
     next();
   }
   void tell(Outcome& out) {
@@ -101,25 +102,26 @@
       ++out.asked;
       out.right += ledger_.statuses[id] == 200 && ledger_.runs[id] == 1 ? 1 : 0;
     }
-    for (const auto& [kind, what] : ledger_.broken) {
+    for (const auto& violation : ledger_.violations) {
       // What a bad caller sends may well be a sound request with another body.
-      if (kind != "changed" || what.find("of honest-") != std::string::npos) {
-        out.wrong.push_back(kind + ": " + what);
+      if (violation.kind != "changed" ||
+          violation.description.find("of honest-") != std::string::npos) {
+        out.wrong.push_back(violation.text());
       }
     }
-    if (ledger_.heads > path_.passedOn()) {
+    if (ledger_.heads > path_.forwardedRequests()) {
       out.wrong.push_back("servers read " + std::to_string(ledger_.heads) + " requests, " +
-                          std::to_string(path_.passedOn()) + " were passed on");
+                          std::to_string(path_.forwardedRequests()) + " were passed on");
     }
   }
 
  private:
-  std::unique_ptr<Caller> newCaller() {
-    auto caller = std::make_unique<Caller>(loop_, path_.way(), ledger_);
-    caller->onIdle = [this] {
+  std::unique_ptr<ScriptedClient> newClient() {
+    auto client = std::make_unique<ScriptedClient>(loop_, path_.clientAddress(), ledger_);
+    client->onIdle = [this] {
       if (std::exchange(asking_, false)) loop_.after(Duration(0), [this] { next(); });
     };
-    return caller;
+    return client;
   }
   void next() {
     if (left_-- == 0) {
@@ -129,9 +131,10 @@
     }
     // Now and then at the node beside a server: whoever is in reach may call there.
     const bool inside = !gateway_ && below(random_, 3) == 0;
-    bad_ = Plug::dial(loop_, inside ? path_.at(0, kIngressAt) : path_.way());
+    bad_ =
+        SocketEndpoint::connect(loop_, inside ? path_.at(0, kIngressPort) : path_.clientAddress());
     got_.clear();
-    bad_->onData = [this] { got_ += std::exchange(bad_->in, ""); };
+    bad_->onData = [this] { got_ += std::exchange(bad_->received, ""); };
     const auto text = damagedText(someRequest("x" + std::to_string(left_), random_), random_);
     const auto cut = below(random_, text.size() + 1);
     bad_->write(std::string_view(text).substr(0, cut));
@@ -140,8 +143,9 @@
       if (below(random_, 4) == 0) bad_->halfClose();
       asking_ = true;
       const bool once = below(random_, 2) == 0;
-      if (!caller_->open()) caller_ = newCaller();
-      caller_->ask({{once ? "/once/short" : "/safe/short", "honest-" + std::to_string(honest_++)}});
+      if (!client_->isOpen()) client_ = newClient();
+      client_->send(
+          {{once ? "/once/short" : "/safe/short", "honest-" + std::to_string(honest_++)}});
     });
     loop_.after(fromMillis(kLookMs), [this, plug = bad_, text] {
       if (plug == bad_) look(text);
@@ -150,11 +154,11 @@
   }
   // Whatever came back is answers, whole or still coming.
   void look(const std::string& sent) {
-    while (const auto head = headOf(got_)) {
+    while (const auto head = parseHead(got_)) {
       const bool known = head->status >= 100 && head->status < 600;
-      if (!known) ledger_.wrong("no answer", got_.substr(0, 60) + " to " + sent);
-      if (!known || got_.size() < head->size + head->body) return;
-      got_.erase(0, head->size + head->body);
+      if (!known) ledger_.addViolation("no answer", got_.substr(0, 60) + " to " + sent);
+      if (!known || got_.size() < head->size + head->bodySize) return;
+      got_.erase(0, head->size + head->bodySize);
     }
   }
 
@@ -162,11 +166,11 @@
   Random random_;
   int left_;
   std::function<void()> done_;
-  Ledger ledger_;
+  RequestLedger ledger_;
   ProxyPath path_;
   bool gateway_;
-  std::unique_ptr<Caller> caller_;
-  Plug::Ptr bad_;
+  std::unique_ptr<ScriptedClient> client_;
+  SocketEndpoint::Ptr bad_;
   std::string got_;
   int honest_ = 0;
   bool asking_ = false;
@@ -182,8 +186,8 @@
         left_(rounds),
         done_(std::move(done)),
         path_(loop, number, gateway, std::nullopt, nullptr, ledger_) {
-    for (const auto& server : path_.standIns()) {
-      server->twist = [this](const std::string& id, const std::string& honest) {
+    for (const auto& server : path_.servers()) {
+      server->substitute = [this](const std::string& id, const std::string& honest) {
         return id[0] == 'x' ? damagedText(someAnswer(honest, id, random_), random_) : honest;
       };
     }
@@ -196,7 +200,7 @@
       out.right += status == 200 ? 1 : 0;
       if (status == 503 && ledger_.runs.contains(id)) out.wrong.push_back("promised: " + id);
     }
-    for (const auto& [kind, what] : ledger_.broken) out.wrong.push_back(kind + ": " + what);
+    for (const auto& violation : ledger_.violations) out.wrong.push_back(violation.text());
   }
 
  private:
@@ -213,16 +217,15 @@
       });
     });
   }
-  void ask(const std::vector<std::pair<std::string, std::string>>& requests,
-           std::function<void()> then) {
+  void ask(const std::vector<ScriptedRequest>& requests, std::function<void()> then) {
     loop_.after(Duration(0), [this, requests, then = std::move(then)] {
-      if (!caller_ || !caller_->open()) {
-        caller_ = std::make_unique<Caller>(loop_, path_.way(), ledger_);
+      if (!client_ || !client_->isOpen()) {
+        client_ = std::make_unique<ScriptedClient>(loop_, path_.clientAddress(), ledger_);
       }
-      caller_->onIdle = [then, told = std::make_shared<bool>(false)] {
+      client_->onIdle = [then, told = std::make_shared<bool>(false)] {
         if (!std::exchange(*told, true)) then();
       };
-      caller_->ask(requests);
+      client_->send(requests);
     });
   }
 
@@ -230,9 +233,9 @@
   Random random_;
   int left_;
   std::function<void()> done_;
-  Ledger ledger_;
+  RequestLedger ledger_;
   ProxyPath path_;
-  std::unique_ptr<Caller> caller_;
+  std::unique_ptr<ScriptedClient> client_;
 };
 
 template <class Play>
--- a/tests/loopback/hostile_peers.cpp
+++ b/tests/loopback/hostile_peers.cpp
@@ -13,7 +13,7 @@
 #include "consensus/message_codec.hpp"
 #include "gossip/gossip_service.hpp"
 #include "loopback/damaged_messages.hpp"
-#include "loopback/proxy_path.hpp"
+#include "loopback/test_messages.hpp"
 #include "simulation/scenario_runner.hpp"
 
 namespace merlingauge::test {
@@ -197,7 +197,7 @@
   value.sequence = 3;
   value.epoch = 1;
   value.uniqueId = "10.0.0.1/4";
-  value.config = config::ConfigText::create(filled(R"({"revision":1},)", 9000));
+  value.config = config::ConfigText::create(repeatedText(R"({"revision":1},)", 9000));
   value.configRevision = Revision{1};
   value.history = config::ChangeHistory(Revision{0}).extendedBy({Revision{1}, 77});
   value.voters = {NodeId("10.0.0.1"), NodeId("10.0.0.2"), NodeId("10.0.0.3")};
@@ -207,7 +207,7 @@
 class HostileRegister {
  public:
   HostileRegister(std::uint64_t seed, MessageCounts& counts) : random_(seed), counts_(counts) {
-    textCache_.add(config::ConfigText::create(filled(R"({"revision":1},)", 8000)));
+    textCache_.add(config::ConfigText::create(repeatedText(R"({"revision":1},)", 8000)));
   }
 
   void run() {
--- /dev/null
+++ b/tests/loopback/instance_server.hpp
@@ -0,0 +1,40 @@
+// instance_server.hpp: a correct server of the users' in a loopback test.
+#pragma once
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "loopback/request_ledger.hpp"
+#include "loopback/socket_listener.hpp"
+
+namespace merlingauge::test {
+
+/// Serves the requests that are addressed to its instance and rejects others with 421. Event-loop
+/// thread.
+class InstanceServer {
+ public:
+  /// `number` names it in the ledger.
+  InstanceServer(EventLoop& loop, const SocketAddress& address, std::string instanceId, int number,
+                 RequestLedger& ledger);
+  /// Where set: the bytes that it sends in place of the correct response.
+  std::function<std::string(const std::string& id, const std::string& correctResponse)> substitute;
+  /// Stops listening and resets all connections.
+  void close();
+
+ private:
+  void onAccept(const SocketEndpoint::Ptr& connection);
+  void serve(SocketEndpoint& connection, bool& counted);
+  void countHead(const std::string& id, bool isAddressedHere);
+  [[nodiscard]] std::string responseOf(const std::string& id, bool isLong,
+                                       bool isAddressedHere) const;
+
+  std::string instanceId_;
+  int number_;
+  RequestLedger& ledger_;
+  std::vector<SocketEndpoint::Ptr> connections_;
+  SocketListener listener_;
+};
+
+}  // namespace merlingauge::test
--- /dev/null
+++ b/tests/loopback/test_messages.cpp
@@ -0,0 +1,75 @@
+// test_messages.cpp: the requests and responses of the loopback tests.
+#include "loopback/test_messages.hpp"
+
+#include <cstdlib>
+
+namespace merlingauge::test {
+
+std::string headerValue(std::string_view head, const std::string& name) {
+  const auto at = head.find("\r\n" + name + ": ");
+  if (at == std::string_view::npos) return "";
+  const auto from = at + name.size() + 4;
+  return std::string(head.substr(from, head.find("\r\n", from) - from));
+}
+
+std::optional<MessageHead> parseHead(const std::string& bytes) {
+  const auto end = bytes.find("\r\n\r\n");
+  if (end == std::string::npos) return std::nullopt;
+  const auto text = std::string_view(bytes).substr(0, end + 2);
+  MessageHead head;
+  head.size = end + 4;
+  head.bodySize = std::strtoul(headerValue(text, "Content-Length").c_str(), nullptr, 10);
+  head.id = headerValue(text, "Attempt-Id");
+  if (text.substr(0, 5) == "HTTP/") head.status = std::atoi(bytes.substr(9, 3).c_str());
+  head.notExecuted = head.status == 421 || !headerValue(text, "Not-Executed").empty() ||
+                     !headerValue(text, "Hut-Refused").empty();
+  return head;
+}
+
+std::optional<std::size_t> chunkedBodySize(const std::string& bytes, std::size_t offset) {
+  std::size_t at = offset;
+  for (bool last = false;;) {
+    const auto end = bytes.find("\r\n", at);
+    if (end == std::string::npos) return std::nullopt;
+    if (last && end == at) return end + 2 - offset;
+    if (!last) {
+      const auto size = std::strtoul(bytes.c_str() + at, nullptr, 16);
+      last = size == 0;
+      at = end + 2 + (last ? 0 : size + 2);
+      if (at > bytes.size()) return std::nullopt;
+    } else {
+      at = end + 2;
+    }
+  }
+}
+
+std::string repeatedText(const std::string& word, std::size_t size) {
+  std::string out;
+  while (out.size() < size) {
+    out += word;
+    out += ';';
+  }
+  out.resize(size);
+  return out;
+}
+
+std::string requestBody(const std::string& id) { return repeatedText("ask " + id, 64); }
+
+std::string responseBody(const std::string& id, bool isLong) {
+  return repeatedText(id, isLong ? kLongBodySize : kShortBodySize);
+}
+
+std::string requestTo(const std::string& path, const std::string& id) {
+  const auto body = requestBody(id);
+  return "POST " + path + " HTTP/1.1\r\nHost: echo.example\r\nAttempt-Id: " + id +
+         "\r\nDeadline-Ms: 1500\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+         body;
+}
+
+std::string responseTo(const std::string& id, bool isLong) {
+  const auto body = responseBody(id, isLong);
+  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + id + "\r\nResponse-Seal: seal " + id +
+         "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+}  // namespace merlingauge::test
