--- a/tests/compatibility/fixture_writer.cpp
+++ b/tests/compatibility/fixture_writer.cpp
@@ -49,8 +49,8 @@
 };
 
 const json& partOf(const json& j, const char* key) {
-  static const json none = json::object();
-  return j.is_object() && j.contains(key) ? j.at(key) : none;
+  static const json kNone = json::object();
+  return j.is_object() && j.contains(key) ? j.at(key) : kNone;
 }
 
 bool askIs(const json& ask, RegisterRequest::Kind kind) {
@@ -65,8 +65,14 @@
   });
 }
 
-const std::vector<Wanted>& wantedNews() {
-  static const std::vector<Wanted> list = {
+std::vector<Wanted> joined(std::vector<Wanted> first, const std::vector<Wanted>& second) {
+  first.insert(first.end(), second.begin(), second.end());
+  return first;
+}
+
+// Discovery, probes and pulls with updates of nodes and instances.
+std::vector<Wanted> wantedUpdates() {
+  return {
       {"news-greeting", "/news",
        [](const json& ask, const json& answer) {
          return ask.contains("g") && partOf(answer, "c").size() >= 3;
@@ -100,6 +106,12 @@
          return ask.contains("w") && !ask.contains("a") && !answer.contains("i") &&
                 !answer.contains("v") && !answer.contains("c") && answer.contains("e");
        }},
+  };
+}
+
+// Quorum contact, register values and the repair of differences.
+std::vector<Wanted> wantedValuesAndRepairs() {
+  return {
       {"news-evidence-of-voter", "/news",
        [](const json&, const json& answer) { return answer.contains("y"); }},
       {"news-out-of-touch", "/news",
@@ -130,89 +142,112 @@
       {"news-struck-lives", "/news",
        [](const json& ask, const json&) { return ask.contains("x"); }},
   };
-  return list;
 }
 
-const std::vector<Wanted>& wantedRegister() {
-  const auto prepare = [](const json& ask) { return askIs(ask, RegisterRequest::Kind::prepare); };
-  const auto accept = [](const json& ask) { return askIs(ask, RegisterRequest::Kind::accept); };
-  const auto value = [](const json& message) -> const json& { return partOf(message, "v"); };
-  static const std::vector<Wanted> list = {
+const std::vector<Wanted>& wantedGossip() {
+  static const std::vector<Wanted> kWanted = joined(wantedUpdates(), wantedValuesAndRepairs());
+  return kWanted;
+}
+
+bool isPrepare(const json& ask) { return askIs(ask, RegisterRequest::Kind::prepare); }
+bool isAccept(const json& ask) { return askIs(ask, RegisterRequest::Kind::accept); }
+const json& valueOf(const json& message) { return partOf(message, "v"); }
+
+std::vector<Wanted> wantedPrepares() {
+  return {
       {"register-prepare-at-first", "/register",
-       [=](const json& ask, const json& answer) {
-         return prepare(ask) && !ask.contains("h") && answer.at("o") == true &&
+       [](const json& ask, const json& answer) {
+         return isPrepare(ask) && !ask.contains("h") && answer.at("o") == true &&
                 !answer.contains("a");
        }},
       {"register-prepare-same", "/register",
-       [=](const json& ask, const json& answer) {
-         return prepare(ask) && ask.contains("g") && answer.contains("i");
+       [](const json& ask, const json& answer) {
+         return isPrepare(ask) && ask.contains("g") && answer.contains("i");
        }},
       {"register-prepare-value-text-at-hand", "/register",
-       [=](const json& ask, const json& answer) {
-         const auto& v = value(answer);
-         return prepare(ask) && v.contains("i") && !v.contains("c") && !v.contains("d") &&
+       [](const json& ask, const json& answer) {
+         const auto& v = valueOf(answer);
+         return isPrepare(ask) && v.contains("i") && !v.contains("c") && !v.contains("d") &&
                 !v.contains("z") && !v.contains("m");
        }},
       {"register-prepare-value-delta", "/register",
-       [=](const json& ask, const json& answer) {
-         return prepare(ask) && value(answer).contains("d");
+       [](const json& ask, const json& answer) {
+         return isPrepare(ask) && valueOf(answer).contains("d");
        }},
       {"register-prepare-value-text-only-named", "/register",
-       [=](const json& ask, const json& answer) {
-         return prepare(ask) && value(answer).contains("m");
+       [](const json& ask, const json& answer) {
+         return isPrepare(ask) && valueOf(answer).contains("m");
        }},
       {"register-prepare-refused", "/register",
-       [=](const json& ask, const json& answer) {
-         return prepare(ask) && answer.at("o") == false && !answer.contains("z");
+       [](const json& ask, const json& answer) {
+         return isPrepare(ask) && answer.at("o") == false && !answer.contains("z");
        }},
       {"register-prepare-asleep", "/register",
-       [=](const json& ask, const json& answer) { return prepare(ask) && answer.contains("z"); }},
+       [](const json& ask, const json& answer) { return isPrepare(ask) && answer.contains("z"); }},
       {"register-prepare-copied-value", "/register",
-       [=](const json& ask, const json& answer) {
-         return prepare(ask) && answer.at("o") == true && answer.contains("c");
+       [](const json& ask, const json& answer) {
+         return isPrepare(ask) && answer.at("o") == true && answer.contains("c");
        }},
       {"register-prepare-lives-known", "/register",
-       [=](const json& ask, const json& answer) { return prepare(ask) && answer.contains("l"); }},
+       [](const json& ask, const json& answer) { return isPrepare(ask) && answer.contains("l"); }},
+  };
+}
+
+std::vector<Wanted> wantedAccepts() {
+  return {
       {"register-accept-text-short", "/register",
-       [=](const json& ask, const json&) { return accept(ask) && value(ask).contains("c"); }},
+       [](const json& ask, const json&) { return isAccept(ask) && valueOf(ask).contains("c"); }},
       {"register-accept-text-packed", "/register",
-       [=](const json& ask, const json&) { return accept(ask) && value(ask).contains("z"); }},
+       [](const json& ask, const json&) { return isAccept(ask) && valueOf(ask).contains("z"); }},
       {"register-accept-text-and-history-delta", "/register",
-       [=](const json& ask, const json&) {
-         return accept(ask) && value(ask).contains("d") && partOf(value(ask), "h").contains("o");
+       [](const json& ask, const json&) {
+         return isAccept(ask) && valueOf(ask).contains("d") &&
+                partOf(valueOf(ask), "h").contains("o");
        }},
       {"register-accept-history-whole", "/register",
-       [=](const json& ask, const json&) {
-         return accept(ask) && partOf(value(ask), "h").contains("s");
+       [](const json& ask, const json&) {
+         return isAccept(ask) && partOf(valueOf(ask), "h").contains("s");
        }},
       {"register-accept-changing-voters", "/register",
-       [=](const json& ask, const json&) { return accept(ask) && value(ask).contains("b"); }},
+       [](const json& ask, const json&) { return isAccept(ask) && valueOf(ask).contains("b"); }},
       {"register-accept-refused", "/register",
-       [=](const json& ask, const json& answer) { return accept(ask) && answer.at("o") == false; }},
+       [](const json& ask, const json& answer) {
+         return isAccept(ask) && answer.at("o") == false;
+       }},
+  };
+}
+
+std::vector<Wanted> wantedRejoinsAndFetches() {
+  return {
       {"register-rejoin", "/register",
-       [=](const json& ask, const json& answer) {
+       [](const json& ask, const json& answer) {
          return askIs(ask, RegisterRequest::Kind::rejoin) && answer.at("o") == true &&
                 answer.contains("k") && answer.contains("v");
        }},
       {"register-rejoin-value-packed", "/register",
-       [=](const json& ask, const json& answer) {
-         return askIs(ask, RegisterRequest::Kind::rejoin) && value(answer).contains("z");
+       [](const json& ask, const json& answer) {
+         return askIs(ask, RegisterRequest::Kind::rejoin) && valueOf(answer).contains("z");
        }},
       {"register-rejoin-asleep", "/register",
-       [=](const json& ask, const json& answer) {
+       [](const json& ask, const json& answer) {
          return askIs(ask, RegisterRequest::Kind::rejoin) && answer.contains("z");
        }},
       {"register-rejoin-life-is-over", "/register",
-       [=](const json& ask, const json& answer) {
+       [](const json& ask, const json& answer) {
          return askIs(ask, RegisterRequest::Kind::rejoin) && answer.at("o") == false &&
                 answer.contains("k");
        }},
       {"register-fetch", "/register",
-       [=](const json& ask, const json& answer) {
+       [](const json& ask, const json& answer) {
          return askIs(ask, RegisterRequest::Kind::fetch) && answer.contains("v");
        }},
   };
-  return list;
+}
+
+const std::vector<Wanted>& wantedRegister() {
+  static const std::vector<Wanted> kWanted =
+      joined(joined(wantedPrepares(), wantedAccepts()), wantedRejoinsAndFetches());
+  return kWanted;
 }
 
 class Collection {
@@ -223,7 +258,7 @@
     const auto asked = json::parse(ask, nullptr, false);
     const auto said = json::parse(answer, nullptr, false);
     if (status != 200 || !asked.is_object() || !said.is_object()) return;
-    for (const auto& wanted : path == "/news" ? wantedNews() : wantedRegister()) {
+    for (const auto& wanted : path == "/news" ? wantedGossip() : wantedRegister()) {
       if (path != wanted.path || kept_.contains(wanted.name) || !wanted.fits(asked, said)) continue;
       kept_[wanted.name] = {wanted.name, path, source, status, ask, answer};
     }
@@ -239,7 +274,7 @@
   }
   [[nodiscard]] std::vector<std::string> missing() const {
     std::vector<std::string> out;
-    for (const auto* list : {&wantedNews(), &wantedRegister()}) {
+    for (const auto* list : {&wantedGossip(), &wantedRegister()}) {
       for (const auto& wanted : *list) {
         if (!kept_.contains(wanted.name)) out.emplace_back(wanted.name);
       }
@@ -542,7 +577,9 @@
 
 std::string headOf(const std::vector<std::pair<std::string, std::string>>& headers) {
   std::string out;
-  for (const auto& [name, value] : headers) out += name + ": " + value + "\n";
+  for (const auto& [name, value] : headers) {
+    out.append(name).append(": ").append(value).append("\n");
+  }
   return out;
 }
 
