--- a/tests/loopback/mesh_test.cpp
+++ b/tests/loopback/mesh_test.cpp
@@ -8,7 +8,8 @@
 
 #include "loopback/node_processes.hpp"
 #include "loopback/polling.hpp"
-#include "loopback/program_path.hpp"
+#include "loopback/program_arguments.hpp"
+#include "loopback/shared_fleet_test.hpp"
 #include "loopback/stand_in_server.hpp"
 
 namespace merlingauge::test {
@@ -58,54 +59,39 @@
   std::unique_ptr<StandInServer> server;  // beside `back`; none until a test starts it
 };
 
-// The tests share one fleet, since its start takes seconds, and run in the order in which they
-// stand: they take it from its first start to its last node's end. Each of them needs what those
-// before it have set up, so none of them can be run alone.
-class MeshTest : public testing::Test {
+class MeshTest : public SharedFleetTest<Fleet> {
  protected:
-  static void SetUpTestSuite() { shared = std::make_unique<Fleet>(); }
-  static void TearDownTestSuite() { shared.reset(); }
-
-  void SetUp() override {
-    ASSERT_FALSE(failedBefore) << "an earlier test has failed: the fleet is in no known state";
-  }
-  void TearDown() override { failedBefore = failedBefore || HasFailure(); }
-
   // The headers of a caller that also sends those that only nodes may set.
   static std::map<std::string, std::string> forgedHeaders() {
     return {{"Host", "echo.example"},        {"Attempt-Id", "t1"}, {"Caller-Service", "forged"},
             {"Expected-Instance", "forged"}, {"Hut-Refused", "x"}, {"Deadline-Ms", "2000"}};
   }
-
-  static inline std::unique_ptr<Fleet> shared;
-  static inline bool failedBefore = false;
-  Fleet& fleet = *shared;
 };
 
 TEST_F(MeshTest, SidecarWithoutConfigurationIsNotReady) {
-  ASSERT_TRUE(becomesTrue([&] { return Fleet::readiness(fleet.front) == 503; }))
+  ASSERT_TRUE(becomesTrue([&] { return Fleet::readiness(fleet_.front) == 503; }))
       << "a node without a configuration is not ready";
 }
 
 TEST_F(MeshTest, FirstConfigurationIsAcceptedOnceAndSaysSoAgain) {
   ASSERT_TRUE(becomesTrue([&] {
-    return Fleet::replaceConfiguration(fleet.control[1], 0, config(3, "/a/")) == 200;
+    return Fleet::replaceConfiguration(fleet_.control[1], 0, config(3, "/a/")) == 200;
   })) << "the first configuration is taken";
-  ASSERT_EQ(Fleet::replaceConfiguration(fleet.control[2], 0, config(3, "/a/")), 200)
+  ASSERT_EQ(Fleet::replaceConfiguration(fleet_.control[2], 0, config(3, "/a/")), 200)
       << "the same again through another node is 200";
 }
 
 TEST_F(MeshTest, ConflictingAndMalformedConfigurationsAreRejected) {
-  EXPECT_EQ(Fleet::replaceConfiguration(fleet.control[0], 0, config(4, "/b/")), 412)
+  EXPECT_EQ(Fleet::replaceConfiguration(fleet_.control[0], 0, config(4, "/b/")), 412)
       << "another on the same version is 412";
-  EXPECT_EQ(Fleet::replaceConfiguration(fleet.control[0], 3, config(2, "/b/")), 400)
+  EXPECT_EQ(Fleet::replaceConfiguration(fleet_.control[0], 3, config(2, "/b/")), 400)
       << "a revision that doesn't rise is 400";
-  EXPECT_EQ(Fleet::replaceConfiguration(fleet.control[0], 3, "{\"revision\":"), 400)
+  EXPECT_EQ(Fleet::replaceConfiguration(fleet_.control[0], 3, "{\"revision\":"), 400)
       << "half a document is 400";
 }
 
 TEST_F(MeshTest, ControlPlaneRejectsUnknownAndMalformedCalls) {
-  const auto address = at(fleet.control[0], kControl);
+  const auto address = at(fleet_.control[0], kControl);
   EXPECT_EQ(call(address, "GET", "/v1/Configuration.Replace").status, 405) << "wrong method is 405";
   EXPECT_EQ(call(address, "GET", "/v1/Nothing").status, 404) << "no such call is 404";
   EXPECT_EQ(call(address, "POST", "/v1/Instances.Heartbeat/x", {}, "{").status, 400)
@@ -132,33 +118,33 @@
                         "h":{"i":1,"f":0,"s":1,"a":"*"}}})"},
       {"/pages", "{}"}};
   for (const auto& [path, text] : foreign) {
-    const int status = call(at(fleet.control[0], kInner), "POST", path, {}, text).status;
+    const int status = call(at(fleet_.control[0], kInner), "POST", path, {}, text).status;
     EXPECT_TRUE(status >= 400 && status < 500) << "a foreign message is refused: " << text;
   }
-  EXPECT_EQ(call(at(fleet.control[0], kControl), "GET", "/v1/Status").status, 200)
+  EXPECT_EQ(call(at(fleet_.control[0], kControl), "GET", "/v1/Status").status, 200)
       << "the node is still there";
 }
 
 TEST_F(MeshTest, SidecarsBecomeReady) {
   ASSERT_TRUE(becomesTrue([&] {
-    return Fleet::readiness(fleet.front) == 200 && Fleet::readiness(fleet.back) == 200;
+    return Fleet::readiness(fleet_.front) == 200 && Fleet::readiness(fleet_.back) == 200;
   })) << "the sidecars are ready";
 }
 
 TEST_F(MeshTest, RequestWithoutServerOrRouteIsRejected) {
-  const auto none = call(at(fleet.front, kEgress), "POST", "/a/1", forgedHeaders(), "x");
+  const auto none = call(at(fleet_.front, kEgress), "POST", "/a/1", forgedHeaders(), "x");
   EXPECT_TRUE(none.status == 503 && none.headers.contains("Retry-After"))
       << "without a server: 503 and when to come back";
-  EXPECT_EQ(call(at(fleet.front, kEgress), "GET", "/z/1", {{"Host", "echo.example"}}).status, 404)
+  EXPECT_EQ(call(at(fleet_.front, kEgress), "GET", "/z/1", {{"Host", "echo.example"}}).status, 404)
       << "no route is 404";
 }
 
 TEST_F(MeshTest, RequestReachesServerWithItsOwnCallerPathAndBody) {
-  fleet.server = std::make_unique<StandInServer>(fleet.back, "i-1");
-  ASSERT_EQ(fleet.server->sendHeartbeat("available"), 200) << "the heartbeat is acknowledged";
+  fleet_.server = std::make_unique<StandInServer>(fleet_.back, "i-1");
+  ASSERT_EQ(fleet_.server->sendHeartbeat("available"), 200) << "the heartbeat is acknowledged";
   Reply reply;
   ASSERT_TRUE(becomesTrue([&] {
-    reply = call(at(fleet.front, kEgress), "POST", "/a/1?q=2", forgedHeaders(),
+    reply = call(at(fleet_.front, kEgress), "POST", "/a/1?q=2", forgedHeaders(),
                  std::string(200000, 'x'));
     return reply.status == 200;
   })) << "a request reaches the server";
@@ -167,111 +153,111 @@
               body["hut"] == false)
       << "with its own caller, path and body, and nothing of ours";
   EXPECT_EQ(reply.headers["Response-Seal"], "sealed") << "the seal comes back";
-  for (const auto& [id, runs] : fleet.server->runs()) EXPECT_EQ(runs, 1) << "it ran once: " << id;
+  for (const auto& [id, runs] : fleet_.server->runs()) EXPECT_EQ(runs, 1) << "it ran once: " << id;
 }
 
 TEST_F(MeshTest, AnswerOfTheOnlyNodeIsAwaitedWhileItIsSuspended) {
   int status = 0;
-  fleet.nodes.pause(fleet.back, true);
-  std::thread waiting([&] { status = fleet.postWithin("/safe/1", "w1", "2000"); });
+  fleet_.nodes.pause(fleet_.back, true);
+  std::thread waiting([&] { status = fleet_.postWithin("/safe/1", "w1", "2000"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
-  fleet.nodes.pause(fleet.back, false);
+  fleet_.nodes.pause(fleet_.back, false);
   waiting.join();
   ASSERT_EQ(status, 200)
       << "with nowhere else to go, the answer of an unresponsive node is waited for";
-  ASSERT_EQ(fleet.server->runs()["w1"], 1) << "and it ran once";
+  ASSERT_EQ(fleet_.server->runs()["w1"], 1) << "and it ran once";
 }
 
 TEST_F(MeshTest, ResumedServerSidecarForwardsNothingForCallersThatLeft) {
-  fleet.nodes.pause(fleet.back, true);
-  ASSERT_EQ(fleet.postWithin("/a/1", "w2", "300"), 504)
+  fleet_.nodes.pause(fleet_.back, true);
+  ASSERT_EQ(fleet_.postWithin("/a/1", "w2", "300"), 504)
       << "what may have run is never promised not to have";
-  fleet.nodes.pause(fleet.back, false);
-  ASSERT_TRUE(becomesTrue([&] { return fleet.postWithin("/a/1", "w3", "2000") == 200; }))
+  fleet_.nodes.pause(fleet_.back, false);
+  ASSERT_TRUE(becomesTrue([&] { return fleet_.postWithin("/a/1", "w3", "2000") == 200; }))
       << "the node takes requests again";
-  ASSERT_FALSE(fleet.server->runs().contains("w2"))
+  ASSERT_FALSE(fleet_.server->runs().contains("w2"))
       << "a node that goes on passes nothing on for callers that left";
 }
 
 TEST_F(MeshTest, RequestIsNotRetriedAtServerThatClosesDuringExecution) {
-  ASSERT_TRUE(fleet.postWithin("/safe/drop", "w6", "2000") == 502 &&
-              fleet.server->runs()["w6"] == 1)
+  ASSERT_TRUE(fleet_.postWithin("/safe/drop", "w6", "2000") == 502 &&
+              fleet_.server->runs()["w6"] == 1)
       << "a server that breaks off at work isn't sent the request again by its own node";
 }
 
 TEST_F(MeshTest, ResumedCallerSidecarForwardsNothingForCallersThatLeft) {
-  fleet.nodes.pause(fleet.front, true);
+  fleet_.nodes.pause(fleet_.front, true);
   {
-    net::StreamSocket socket{net::SocketAddress(at(fleet.front, kEgress))};
+    net::StreamSocket socket{net::SocketAddress(at(fleet_.front, kEgress))};
     const std::string text =
         "POST /a/1 HTTP/1.1\r\nHost: echo.example\r\nAttempt-Id: w4\r\nContent-Length: 0\r\n\r\n";
     socket.sendBytes(text.data(), static_cast<int>(text.size()));
   }
-  fleet.nodes.pause(fleet.front, false);
-  ASSERT_TRUE(becomesTrue([&] { return fleet.postWithin("/a/1", "w5", "2000") == 200; }))
+  fleet_.nodes.pause(fleet_.front, false);
+  ASSERT_TRUE(becomesTrue([&] { return fleet_.postWithin("/a/1", "w5", "2000") == 200; }))
       << "the first node takes requests again";
-  ASSERT_FALSE(fleet.server->runs().contains("w4"))
+  ASSERT_FALSE(fleet_.server->runs().contains("w4"))
       << "nor does the node that a caller gave up on pass anything on";
 }
 
 TEST_F(MeshTest, IdempotentRequestsAreServedElsewhereWhileANodeIsSuspended) {
-  StandInServer second(fleet.other, "i-2");
+  StandInServer second(fleet_.other, "i-2");
   second.sendHeartbeat("available");
   const auto get = [&](const std::string& id) {
-    return call(at(fleet.front, kEgress), "GET", "/safe/1",
+    return call(at(fleet_.front, kEgress), "GET", "/safe/1",
                 {{"Host", "echo.example"}, {"Attempt-Id", id}});
   };
   ASSERT_TRUE(becomesTrue([&] {
-    fleet.server->sendHeartbeat("available");
+    fleet_.server->sendHeartbeat("available");
     second.sendHeartbeat("available");
     get("s0");
     return second.runs().contains("s0");
   })) << "a second server takes its part";
-  fleet.nodes.pause(fleet.other, true);
+  fleet_.nodes.pause(fleet_.other, true);
   int served = 0;
   for (int i = 0; i < 10; ++i) served += get("f" + std::to_string(i)).status == 200 ? 1 : 0;
   ASSERT_EQ(served, 10) << "with its node frozen, repeatable requests are all served elsewhere";
-  fleet.nodes.pause(fleet.other, false);
+  fleet_.nodes.pause(fleet_.other, false);
   second.sendHeartbeat("available");
   for (int i = 0; i < 10; ++i) {
     ASSERT_FALSE(second.runs().contains("f" + std::to_string(i)))
         << "what was served elsewhere isn't run once the frozen node goes on";
   }
   ASSERT_TRUE(becomesTrue([&] {
-    return call(at(fleet.other, kControl), "POST", "/v1/Instances.Deregister/i-2").status == 200;
+    return call(at(fleet_.other, kControl), "POST", "/v1/Instances.Deregister/i-2").status == 200;
   })) << "its leave is acknowledged";
 }
 
 TEST_F(MeshTest, RequestWithTwoLengthsIsRejectedAndClosed) {
   const auto smuggled =
-      raw(at(fleet.front, kEgress),
+      raw(at(fleet_.front, kEgress),
           "POST /a/1 HTTP/1.1\r\nHost: echo.example\r\nAttempt-Id: t2\r\nContent-Length: "
           "4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
   ASSERT_TRUE(smuggled.rfind("HTTP/1.1 400", 0) == 0 &&
               smuggled.find("(open)") == std::string::npos)
       << "two lengths: 400 and closed";
-  ASSERT_FALSE(fleet.server->runs().contains("t2")) << "and nothing ran";
+  ASSERT_FALSE(fleet_.server->runs().contains("t2")) << "and nothing ran";
 }
 
 TEST_F(MeshTest, WipedControlNodeVotesAgainAndKeepsAcknowledgedConfiguration) {
-  const auto& control = fleet.control;
-  ASSERT_NE(fleet.nodes.stop(control[0], SIGKILL), 0)
+  const auto& control = fleet_.control;
+  ASSERT_NE(fleet_.nodes.stop(control[0], SIGKILL), 0)
       << "a control node is killed and its disk wiped";
-  fleet.nodes.wipe(control[0]);
+  fleet_.nodes.wipe(control[0]);
   ASSERT_EQ(Fleet::replaceConfiguration(control[1], 3, config(5, "/c/")), 200)
       << "two of three still take a change";
-  fleet.nodes.start(control[0], NodeProcesses::Kind::core, false);
+  fleet_.nodes.start(control[0], NodeProcesses::Kind::core, false);
   ASSERT_TRUE(becomesTrue([&] {
     const auto status =
         json::parse(call(at(control[0], kControl), "GET", "/v1/Status").body, nullptr, false);
     return status.is_object() && status["votes"] == true && status["revision"] == 5;
   })) << "the wiped node votes again";
-  fleet.nodes.stop(control[1], SIGKILL);
+  fleet_.nodes.stop(control[1], SIGKILL);
   ASSERT_TRUE(becomesTrue([&] {
     const auto read = call(at(control[0], kControl), "GET", "/v1/Configuration.Describe");
     return read.status == 200 && json::parse(read.body)["revision"] == 5;
   })) << "and reads back what was acknowledged without it";
-  ASSERT_TRUE(becomesTrue([&] { return fleet.post("/c/1", "t3") == 200; }))
+  ASSERT_TRUE(becomesTrue([&] { return fleet_.post("/c/1", "t3") == 200; }))
       << "the new route is in force at the sidecar";
 }
 
@@ -282,11 +268,11 @@
   std::atomic<int> complete{0};
   std::thread stopping([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
-    fleet.nodes.stop(fleet.back, SIGTERM);
+    fleet_.nodes.stop(fleet_.back, SIGTERM);
   });
   for (int i = 0; i < 22; ++i) {
     callers.emplace_back([&, i] {
-      const int status = fleet.post("/c/slow", "q" + std::to_string(i));
+      const int status = fleet_.post("/c/slow", "q" + std::to_string(i));
       complete += status == 200 ? 1 : 0;
       cut += status == 200 || status == 503 ? 0 : 1;
     });
@@ -295,23 +281,23 @@
   for (auto& caller : callers) caller.join();
   stopping.join();
   ASSERT_TRUE(complete > 0 && cut == 0) << "a node that is stopped cuts nothing off";
-  fleet.nodes.start(fleet.back, NodeProcesses::Kind::sidecar, false);
+  fleet_.nodes.start(fleet_.back, NodeProcesses::Kind::sidecar, false);
   ASSERT_TRUE(becomesTrue([&] {
-    fleet.server->sendHeartbeat("available");
-    return fleet.post("/c/1", "t4") == 200;
+    fleet_.server->sendHeartbeat("available");
+    return fleet_.post("/c/1", "t4") == 200;
   })) << "it is there again";
 }
 
 TEST_F(MeshTest, DrainingServerGetsNoRequest) {
-  ASSERT_EQ(fleet.server->sendHeartbeat("draining"), 200) << "the drain is acknowledged";
+  ASSERT_EQ(fleet_.server->sendHeartbeat("draining"), 200) << "the drain is acknowledged";
   ASSERT_TRUE(becomesTrue([&] {
-    return call(at(fleet.front, kEgress), "POST", "/c/1", {{"Host", "echo.example"}}, "x").status ==
-           503;
+    return call(at(fleet_.front, kEgress), "POST", "/c/1", {{"Host", "echo.example"}}, "x")
+               .status == 503;
   })) << "a drained server gets nothing more";
 }
 
 TEST_F(MeshTest, TerminationSignalEndsNodeInOrder) {
-  const int status = fleet.nodes.stop(fleet.front, SIGTERM);
+  const int status = fleet_.nodes.stop(fleet_.front, SIGTERM);
   ASSERT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << "SIGTERM ends a node in order";
 }
 
--- a/tests/loopback/node_processes.hpp
+++ b/tests/loopback/node_processes.hpp
@@ -1,11 +1,11 @@
 // node_processes.hpp: node processes on loopback addresses, their settings and a configuration.
 #pragma once
 
-#include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
--- a/tests/loopback/shutdown_test.cpp
+++ b/tests/loopback/shutdown_test.cpp
@@ -1,287 +1,264 @@
-// Ends of processes while they are at work, with the real program: SIGTERM in the middle of an
+// shutdown_test.cpp: the real program when processes end at work: SIGTERM in the middle of an
 // answer, with pipelined requests behind it, at each kind of node that carries traffic; a server
-// that drains in the middle of one; nodes frozen for longer than every limit, with requests in
+// that drains in the middle of one; nodes suspended for longer than every limit, with requests in
 // their sockets; hostile sizes. Judged by what servers saw and callers got.
-#include <atomic>
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <chrono>
+#include <functional>
+#include <iostream>
+#include <memory>
 #include <thread>
+#include <vector>
 
-#include "loopback/play.hpp"
+#include "loopback/node_processes.hpp"
+#include "loopback/polling.hpp"
+#include "loopback/program_arguments.hpp"
+#include "loopback/shared_fleet_test.hpp"
+#include "loopback/split_answer_server.hpp"
 
 namespace merlingauge::test {
 namespace {
 
-// Answers in two halves, as long apart as the path says: /once/1000/big.
-class Teller {
+std::string requestText(const std::string& path, const std::string& id, int deadlineMs = 5500) {
+  return "POST " + path + " HTTP/1.1\r\nHost: echo.example\r\nAttempt-Id: " + id +
+         "\r\nDeadline-Ms: " + std::to_string(deadlineMs) + "\r\nContent-Length: 0\r\n\r\n";
+}
+
+// Three control nodes, a sidecar beside the callers, an edge, three sidecars with a server each.
+class Fleet {
  public:
-  Teller(const std::string& ip, std::string id, std::string beatsTo)
-      : ip_(ip),
-        id_(std::move(id)),
-        beatsTo_(std::move(beatsTo)),
-        socket_(net::SocketAddress(at(ip, kApp))) {
-    threads_.emplace_back([this] { serve(); });
-    threads_.emplace_back([this] {
-      for (int i = 0; !stop_; std::this_thread::sleep_for(std::chrono::milliseconds(100))) {
-        if (i++ % 8 == 0) sendHeartbeat();
-      }
-    });
-  }
-  ~Teller() {
-    stop_ = true;
-    for (auto& thread : threads_) thread.join();
-    for (auto& thread : talks_) thread.join();
-  }
-  static std::string body(const std::string& id, bool big) {
-    std::string out = id + " begins;";
-    out.append(big ? 150000 : 300, '.');
-    return out + id + " ends";
-  }
-  int sendHeartbeat() {
-    const std::lock_guard<std::mutex> hold(beating_);
-    const json body = {
-        {"address", at(ip_, kApp)},
-        {"node_info", {{"target_service", "echo"}, {"zone", "z"}, {"capacity", 16}}},
-        {"status_detail",
-         {{"status", drains ? "draining" : "available"}, {"sequence", ++sequence_}}}};
-    return call(beatsTo_, "POST", "/v1/Instances.Heartbeat/" + id_, {}, body.dump()).status;
-  }
-  int runs(const std::string& id) {
-    const std::lock_guard<std::mutex> hold(lock_);
-    return runs_[id];
+  Fleet() : nodes(programPath(), "127.96") {
+    for (const auto& ip : control) nodes.start(ip, NodeProcesses::Kind::core, true);
+    nodes.start(front, NodeProcesses::Kind::sidecar, true);
+    for (const auto& ip : backs) nodes.start(ip, NodeProcesses::Kind::sidecar, true);
+    nodes.start(edge, NodeProcesses::Kind::edge, true);
+    for (auto& rule : routes["route_rules"]) rule["timeout_s"] = 5.5;
   }
-  std::atomic<bool> drains{false};
 
- private:
-  void serve() {
-    while (!stop_) {
-      if (!socket_.poll(Poco::Timespan(0, 50000), net::Socket::SELECT_READ)) continue;
-      talks_.emplace_back([this, peer = socket_.acceptConnection()]() mutable { talk(peer); });
-    }
+  [[nodiscard]] int runs(const std::string& id) const {
+    int sum = 0;
+    for (const auto& server : servers) sum += server->runs(id);
+    return sum;
   }
-  void talk(net::StreamSocket& peer) {
-    std::string in;
-    char chunk[4096];
-    try {
-      while (!stop_) {
-        if (!peer.poll(Poco::Timespan(0, 50000), net::Socket::SELECT_READ)) continue;
-        const int got = peer.receiveBytes(chunk, sizeof chunk);
-        if (got <= 0) return;
-        in.append(chunk, static_cast<std::size_t>(got));
-        const auto end = in.find("\r\n\r\n");
-        if (end == std::string::npos) continue;
-        const auto mark = in.find("Attempt-Id: ") + 12;
-        const auto id = in.substr(mark, in.find('\r', mark) - mark);
-        const auto pause = std::atoi(in.substr(in.find('/', in.find('/') + 1) + 1, 6).c_str());
-        const auto all = body(id, in.find("/big") < in.find('\r'));
-        in.clear();
-        {
-          const std::lock_guard<std::mutex> hold(lock_);
-          ++runs_[id];
-        }
-        const auto out = "HTTP/1.1 200 OK\r\nAttempt-Id: " + id +
-                         "\r\nResponse-Seal: s\r\nContent-Length: " + std::to_string(all.size()) +
-                         "\r\n\r\n" + all;
-        const auto half = out.size() - all.size() / 2;
-        peer.sendBytes(out.data(), static_cast<int>(half));
-        std::this_thread::sleep_for(std::chrono::milliseconds(pause));
-        peer.sendBytes(out.data() + half, static_cast<int>(out.size() - half));
-      }
-    } catch (const Poco::Exception&) {
-      // Its caller has gone.
-    }
+
+  static bool serves(const std::string& address) {
+    return raw(address, requestText("/safe/0", "w"), "w ends").find("w ends") != std::string::npos;
   }
 
-  std::string ip_;
-  std::string id_;
-  std::string beatsTo_;
-  net::ServerSocket socket_;
-  std::atomic<bool> stop_{false};
-  std::mutex beating_;
-  int sequence_ = 0;
-  std::mutex lock_;
-  std::map<std::string, int> runs_;
-  std::vector<std::thread> threads_;
-  std::vector<std::thread> talks_;
+  const std::vector<std::string> control = {"127.96.0.1", "127.96.0.2", "127.96.0.3"};
+  const std::string front = "127.96.0.11";
+  const std::string edge = "127.96.0.21";
+  const std::vector<std::string> backs = {"127.96.0.12", "127.96.0.13", "127.96.0.14"};
+  json routes = json::parse(config(3, "/once/"));
+  NodeProcesses nodes;
+  std::vector<std::unique_ptr<SplitAnswerServer>> servers;  // none until a test starts them
 };
 
-std::string ask(const std::string& path, const std::string& id, int deadlineMs = 5500) {
-  return "POST " + path + " HTTP/1.1\r\nHost: echo.example\r\nAttempt-Id: " + id +
-         "\r\nDeadline-Ms: " + std::to_string(deadlineMs) + "\r\nContent-Length: 0\r\n\r\n";
-}
-
-using Tellers = std::vector<std::unique_ptr<Teller>>;
-int runs(const Tellers& tellers, const std::string& id) {
-  int sum = 0;
-  for (const auto& teller : tellers) sum += teller->runs(id);
-  return sum;
-}
-
-struct Asked {
+// Requests that one caller sends on one connection without waiting for answers.
+struct Pipeline {
   std::vector<std::string> ids;
-  std::vector<std::string> kinds;
+  std::vector<std::string> kinds;  // first segments of the paths: safe (idempotent) or once
   std::string wire;
   bool big = false;
-  std::string got;
+  std::string received;
 };
 
-// Requests of every kind under way at `way`, pipelined behind each other, while `then` happens;
-// whatever a server has seen must come back whole, and nothing that is promised not to run may have
-// run.
-void underWay(const std::string& name, const std::string& way, const Tellers& tellers,
-              const std::function<void()>& then) {
-  std::vector<Asked> all;
+// Small and big answers, and idempotent and other requests before and behind each other.
+std::vector<Pipeline> pipelinesOfEveryKind(const std::string& name) {
+  std::vector<Pipeline> pipelines;
   for (const bool big : {false, true}) {
     for (const std::string first : {"safe", "once"}) {
       for (const std::string second : {"safe", "once"}) {
-        Asked asked;
-        asked.big = big;
+        Pipeline pipeline;
+        pipeline.big = big;
         const std::string tail = big ? "/1000/big" : "/1000/small";
-        const auto id = name + std::to_string(all.size());
-        for (const auto& [kind, n] :
+        const auto id = name + std::to_string(pipelines.size());
+        for (const auto& [kind, suffix] :
              {std::pair(first, "a"), std::pair(second, "b"), std::pair(first, "c")}) {
-          asked.ids.push_back(id + n);
-          asked.kinds.push_back(kind);
-          asked.wire += ask("/" + kind + tail, id + n);
+          pipeline.ids.push_back(id + suffix);
+          pipeline.kinds.push_back(kind);
+          std::string path = "/";
+          path.append(kind).append(tail);
+          pipeline.wire += requestText(path, id + suffix);
         }
-        all.push_back(asked);
+        pipelines.push_back(pipeline);
       }
     }
   }
-  std::vector<std::thread> callers;
-  for (auto& asked : all)
-    callers.emplace_back([&] { asked.got = raw(way, asked.wire, asked.ids.back() + " ends"); });
-  eventually(name + ": the first of each are being answered", [&] {
-    return std::all_of(all.begin(), all.end(),
-                       [&](const auto& a) { return runs(tellers, a.ids[0]) > 0; });
-  });
-  then();
-  for (auto& caller : callers) caller.join();
-  std::size_t whole = 0;
-  for (const auto& asked : all) {
-    std::size_t from = 0;
-    for (std::size_t i = 0; i < asked.ids.size(); ++i) {
-      const auto& id = asked.ids[i];
-      const int ran = runs(tellers, id);
-      const auto at = asked.got.find(Teller::body(id, asked.big), from);
-      const bool served = at != std::string::npos;
-      if (served) from = at;
-      whole += served ? 1 : 0;
-      const auto told = name + ": " + id + " ran " + std::to_string(ran) + " times, " +
-                        (served ? "whole" : "not whole, got: " + asked.got.substr(0, 300));
-      if ((asked.kinds[i] == "once" && ran > 1) || (ran > 0) != served) throw Failure{told};
-    }
-  }
-  require(whole >= all.size(),
-          name + ": all that servers began came back whole, " + std::to_string(whole) + " answers");
+  return pipelines;
 }
 
-void play(const std::string& program) {
-  NodeProcesses mesh(program, "127.96");
-  const std::vector<std::string> cores = {"127.96.0.1", "127.96.0.2", "127.96.0.3"};
-  const std::string front = "127.96.0.11";
-  const std::string edge = "127.96.0.21";
-  const std::vector<std::string> backs = {"127.96.0.12", "127.96.0.13", "127.96.0.14"};
-  for (const auto& ip : cores) mesh.start(ip, NodeProcesses::Kind::core, true);
-  mesh.start(front, NodeProcesses::Kind::sidecar, true);
-  for (const auto& ip : backs) mesh.start(ip, NodeProcesses::Kind::sidecar, true);
-  mesh.start(edge, NodeProcesses::Kind::edge, true);
-  auto routes = json::parse(config(3, "/once/"));
-  for (auto& rule : routes["route_rules"]) rule["timeout_s"] = 5.5;
-  eventually("the configuration is taken", [&] {
-    return call(at(cores[0], kControl), "POST", "/v1/Configuration.Replace",
-                {{"Base-Revision", "0"}}, routes.dump())
-               .status == 200;
-  });
-  Tellers tellers;
-  for (const auto& ip : backs)
-    tellers.push_back(std::make_unique<Teller>(ip, "i-" + ip, at(ip, kControl)));
-  const auto served = [&](const std::string& way) {
-    return raw(way, ask("/safe/0", "w"), "w ends").find("w ends") != std::string::npos;
-  };
-  eventually("servers are reached through egress and edge",
-             [&] { return served(at(front, kEgress)) && served(at(edge, kEgress)); });
-  std::this_thread::sleep_for(std::chrono::milliseconds(1000));  // all of them are known by then
+class ShutdownTest : public SharedFleetTest<Fleet> {
+ protected:
+  // Requests of every kind are in flight at `address`, pipelined behind each other, while `then`
+  // happens; whatever a server has seen must come back complete, and nothing that is promised not
+  // to run may have run.
+  void completesWhatServersBegan(const std::string& name, const std::string& address,
+                                 const std::function<void()>& then) {
+    auto pipelines = pipelinesOfEveryKind(name);
+    std::vector<std::thread> callers;
+    for (auto& pipeline : pipelines) {
+      callers.emplace_back(
+          [&] { pipeline.received = raw(address, pipeline.wire, pipeline.ids.back() + " ends"); });
+    }
+    const bool begun = becomesTrue([&] {
+      return std::all_of(pipelines.begin(), pipelines.end(),
+                         [&](const auto& pipeline) { return fleet_.runs(pipeline.ids[0]) > 0; });
+    });
+    if (begun) then();
+    for (auto& caller : callers) caller.join();
+    ASSERT_TRUE(begun) << name << ": the first of each are being answered";
+    std::size_t complete = 0;
+    for (const auto& pipeline : pipelines) {
+      ASSERT_NO_FATAL_FAILURE(checkAnswers(name, pipeline, complete));
+    }
+    ASSERT_GE(complete, pipelines.size()) << name << ": all that servers began came back whole";
+    std::cout << name << ": " << complete << " answers\n";
+  }
 
-  underWay("egress", at(front, kEgress), tellers, [&] {
-    const int status = mesh.stop(front, SIGTERM);
-    require(WIFEXITED(status) && WEXITSTATUS(status) == 0, "it ends in order");
-  });
-  mesh.start(front, NodeProcesses::Kind::sidecar, false);
-  underWay("edge", at(edge, kEgress), tellers, [&] {
-    const int status = mesh.stop(edge, SIGTERM);
-    require(WIFEXITED(status) && WEXITSTATUS(status) == 0, "it ends in order");
-  });
-  eventually("the egress is back", [&] { return served(at(front, kEgress)); });
-  underWay("ingress", at(front, kEgress), tellers, [&] { mesh.stop(backs[0], SIGTERM); });
-  mesh.start(backs[0], NodeProcesses::Kind::sidecar, false);
-  underWay("drain", at(front, kEgress), tellers, [&] {
-    tellers[1]->drains = true;
-    require(tellers[1]->sendHeartbeat() == 200, "the drain is acknowledged");
-  });
+  // Answers come complete, in order, and exactly for what has run; `complete` counts them.
+  void checkAnswers(const std::string& name, const Pipeline& pipeline, std::size_t& complete) {
+    std::size_t from = 0;
+    for (std::size_t i = 0; i < pipeline.ids.size(); ++i) {
+      const auto& id = pipeline.ids[i];
+      const int ran = fleet_.runs(id);
+      const auto position = pipeline.received.find(SplitAnswerServer::body(id, pipeline.big), from);
+      const bool served = position != std::string::npos;
+      if (served) from = position;
+      complete += served ? 1 : 0;
+      ASSERT_FALSE((pipeline.kinds[i] == "once" && ran > 1) || (ran > 0) != served)
+          << name << ": " << id << " ran " << ran << " times, "
+          << (served ? "whole" : "not whole, got: " + pipeline.received.substr(0, 300));
+    }
+  }
 
-  // Frozen for longer than every limit, thawed with whatever lies in its sockets.
-  const auto frozen = [&](const std::string& name, const std::string& ip, const std::string& way) {
-    std::vector<Asked> all(24);
-    mesh.pause(ip, true);
+  // The node at `ip` is suspended for longer than every limit and resumed with whatever lies in its
+  // sockets.
+  void keepsPromisesWhenSuspended(const std::string& name, const std::string& ip,
+                                  const std::string& address) {
+    std::vector<std::string> received(24);
+    fleet_.nodes.pause(ip, true);
     std::vector<std::thread> callers;
-    for (std::size_t i = 0; i < all.size(); ++i) {
+    for (std::size_t i = 0; i < received.size(); ++i) {
       const auto id = name + "-" + std::to_string(i);
-      const std::string kind = i % 2 == 0 ? "/once/0" : "/safe/0";
-      all[i].ids = {id};
-      callers.emplace_back(
-          [&, i, id, kind] { all[i].got = raw(way, ask(kind, id, 2000), id + " ends"); });
+      const std::string path = i % 2 == 0 ? "/once/0" : "/safe/0";
+      callers.emplace_back([&, i, id, path] {
+        received[i] = raw(address, requestText(path, id, 2000), id + " ends");
+      });
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(3200));
-    mesh.pause(ip, false);
+    fleet_.nodes.pause(ip, false);
     for (auto& caller : callers) caller.join();
     std::this_thread::sleep_for(std::chrono::milliseconds(1200));
-    std::size_t whole = 0;
-    for (std::size_t i = 0; i < all.size(); ++i) {
-      const auto& id = all[i].ids[0];
-      const auto status = all[i].got.substr(0, 12);
+    std::size_t complete = 0;
+    for (std::size_t i = 0; i < received.size(); ++i) {
+      const auto id = name + "-" + std::to_string(i);
+      const auto status = received[i].substr(0, 12);
       const bool promised =
           status == "HTTP/1.1 503" || status == "HTTP/1.1 429" || status == "HTTP/1.1 408";
-      const int ran = runs(tellers, id);
-      const bool done = all[i].got.find(Teller::body(id, false)) != std::string::npos;
-      whole += done ? 1 : 0;
-      const bool sound = (i % 2 != 0 || ran <= 1) && !(promised && ran > 0) && (!done || ran > 0);
-      if (!sound)
-        throw Failure{name + ": " + id + " ran " + std::to_string(ran) + " times, got " +
-                      all[i].got.substr(0, 200)};
+      const int ran = fleet_.runs(id);
+      const bool done = received[i].find(SplitAnswerServer::body(id, false)) != std::string::npos;
+      complete += done ? 1 : 0;
+      ASSERT_TRUE((i % 2 != 0 || ran <= 1) && !(promised && ran > 0) && (!done || ran > 0))
+          << name << ": " << id << " ran " << ran << " times, got " << received[i].substr(0, 200);
     }
-    require(true, name + " frozen and thawed: no promise broken, none twice, " +
-                      std::to_string(whole) + " served");
-  };
-  frozen("egress", front, at(front, kEgress));
-  frozen("ingress", backs[2], at(front, kEgress));
-  require(mesh.stop(front, SIGTERM) == 0, "the egress ends in order");
+    std::cout << name << " suspended and resumed: " << complete << " served\n";
+  }
 
-  // Documents that nest a million deep, a server whose name is no text.
-  const std::string deep = std::string(1000000, '[') + std::string(1000000, ']');
-  const auto refused = [&](int port, const std::string& path, const std::string& text) {
+  void isRejected(int port, const std::string& path, const std::string& text) {
     const int status =
-        call(at(cores[0], port), "POST", path, {{"Base-Revision", "3"}}, text).status;
-    require(status >= 400 && status < 500, path.substr(0, 26) + ": refused");
-  };
-  const auto rule = routes["route_rules"][0].dump();
+        call(at(fleet_.control[0], port), "POST", path, {{"Base-Revision", "3"}}, text).status;
+    ASSERT_TRUE(status >= 400 && status < 500) << path.substr(0, 26) << ": refused";
+  }
+};
+
+TEST_F(ShutdownTest, ServersAreReachedThroughEgressAndEdge) {
+  ASSERT_TRUE(becomesTrue([&] {
+    return call(at(fleet_.control[0], kControl), "POST", "/v1/Configuration.Replace",
+                {{"Base-Revision", "0"}}, fleet_.routes.dump())
+               .status == 200;
+  })) << "the configuration is taken";
+  for (const auto& ip : fleet_.backs) {
+    fleet_.servers.push_back(std::make_unique<SplitAnswerServer>(ip, "i-" + ip, at(ip, kControl)));
+  }
+  ASSERT_TRUE(becomesTrue([&] {
+    return Fleet::serves(at(fleet_.front, kEgress)) && Fleet::serves(at(fleet_.edge, kEgress));
+  })) << "servers are reached through egress and edge";
+  std::this_thread::sleep_for(std::chrono::milliseconds(1000));  // all of them are known by then
+}
+
+TEST_F(ShutdownTest, StoppedEgressCompletesWhatServersBegan) {
+  completesWhatServersBegan("egress", at(fleet_.front, kEgress), [&] {
+    const int status = fleet_.nodes.stop(fleet_.front, SIGTERM);
+    ASSERT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << "it ends in order";
+  });
+}
+
+TEST_F(ShutdownTest, StoppedEdgeCompletesWhatServersBegan) {
+  fleet_.nodes.start(fleet_.front, NodeProcesses::Kind::sidecar, false);
+  completesWhatServersBegan("edge", at(fleet_.edge, kEgress), [&] {
+    const int status = fleet_.nodes.stop(fleet_.edge, SIGTERM);
+    ASSERT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << "it ends in order";
+  });
+}
+
+TEST_F(ShutdownTest, StoppedIngressCompletesWhatServersBegan) {
+  ASSERT_TRUE(becomesTrue([&] { return Fleet::serves(at(fleet_.front, kEgress)); }))
+      << "the egress is back";
+  completesWhatServersBegan("ingress", at(fleet_.front, kEgress),
+                            [&] { fleet_.nodes.stop(fleet_.backs[0], SIGTERM); });
+}
+
+TEST_F(ShutdownTest, DrainingServerCompletesWhatItBegan) {
+  fleet_.nodes.start(fleet_.backs[0], NodeProcesses::Kind::sidecar, false);
+  completesWhatServersBegan("drain", at(fleet_.front, kEgress), [&] {
+    fleet_.servers[1]->draining = true;
+    ASSERT_EQ(fleet_.servers[1]->sendHeartbeat(), 200) << "the drain is acknowledged";
+  });
+}
+
+TEST_F(ShutdownTest, ResumedEgressBreaksNoPromise) {
+  keepsPromisesWhenSuspended("egress", fleet_.front, at(fleet_.front, kEgress));
+}
+
+TEST_F(ShutdownTest, ResumedIngressBreaksNoPromise) {
+  keepsPromisesWhenSuspended("ingress", fleet_.backs[2], at(fleet_.front, kEgress));
+}
+
+TEST_F(ShutdownTest, TerminationSignalEndsEgressInOrder) {
+  ASSERT_EQ(fleet_.nodes.stop(fleet_.front, SIGTERM), 0) << "the egress ends in order";
+}
+
+// Documents that nest a million deep, a server whose name is no text.
+TEST_F(ShutdownTest, ControlNodesRejectDeepDocumentsAndLiveOn) {
+  const std::string deep = std::string(1000000, '[') + std::string(1000000, ']');
+  const auto rule = fleet_.routes["route_rules"][0].dump();
   const auto deepRule = rule.substr(0, rule.size() - 1) + ",\"x\":" + deep + "}";
-  refused(kInner, "/news", R"({"f":"x","s":0,"w":0,"d":0,"h":0,"i":)" + deep + "}");
-  refused(kInner, "/register", R"({"k":0,"v":)" + deep + "}");
-  refused(kControl, "/v1/Configuration.Update",
-          R"({"revision":4,"upserts":{"route_rules":[)" + deepRule + "]}}");
-  refused(kControl, "/v1/Configuration.Replace",
-          R"({"revision":4,"services":[{"name":"echo"}],"route_rules":[)" + deepRule + "]}");
-  refused(kControl, "/v1/Instances.Heartbeat/a\xff",
-          R"({"address":"127.96.0.99:1","node_info":{"target_service":"echo","capacity":1},)"
-          R"("status_detail":{"status":"available","sequence":1}})");
+  struct Call {
+    int port;
+    std::string path;
+    std::string text;
+  };
+  const Call calls[] = {
+      {kInner, "/news", R"({"f":"x","s":0,"w":0,"d":0,"h":0,"i":)" + deep + "}"},
+      {kInner, "/register", R"({"k":0,"v":)" + deep + "}"},
+      {kControl, "/v1/Configuration.Update",
+       R"({"revision":4,"upserts":{"route_rules":[)" + deepRule + "]}}"},
+      {kControl, "/v1/Configuration.Replace",
+       R"({"revision":4,"services":[{"name":"echo"}],"route_rules":[)" + deepRule + "]}"},
+      {kControl, "/v1/Instances.Heartbeat/a\xff",
+       R"({"address":"127.96.0.99:1","node_info":{"target_service":"echo","capacity":1},)"
+       R"("status_detail":{"status":"available","sequence":1}})"}};
+  for (const auto& [port, path, text] : calls) {
+    ASSERT_NO_FATAL_FAILURE(isRejected(port, path, text));
+  }
   std::this_thread::sleep_for(std::chrono::milliseconds(1500));
-  for (const auto& ip : cores) {
-    require(mesh.stop(ip, SIGTERM) == 0, "a core has lived through them all");
+  for (const auto& ip : fleet_.control) {
+    ASSERT_EQ(fleet_.nodes.stop(ip, SIGTERM), 0) << "a control node has lived through them all";
   }
 }
 
 }  // namespace
 }  // namespace merlingauge::test
-
-int main(int argc, char** argv) {
-  return merlingauge::test::runPlay(argc, argv, merlingauge::test::play);
-}
