--- a/src/gossip/gossip_client.cpp
+++ b/src/gossip/gossip_client.cpp
@@ -163,6 +163,8 @@
     response = responseFromJson(std::move(*message));
   } catch (const DecodeError&) {
     onAnswered(peer, link);
+    hasPulled_ = true;
+    link.sendWholeVector = true;  // what the peer takes for received was not
     link.nextPullAt = parts_.dependencies.environment.now() + kRetryInterval;
     return;
   }
@@ -171,6 +173,7 @@
     return;
   }
   onAnswered(peer, link);
+  hasPulled_ = hasPulled_ || !response.isPart();
   if (!takeIn(peer, response)) return;
   if (isFirst) parts_.observer.onFirstContact(peer);
   scheduleNextPull(peer, near);
@@ -193,7 +196,6 @@
 void GossipClient::onAnswered(const NodeId& peer, Link& link) {
   link.answeredOnce = true;
   link.failures = 0;
-  hasPulled_ = true;
   parts_.contacts.onResponse(peer);
 }
 
@@ -204,7 +206,9 @@
   } catch (const std::exception&) {
     // A DecodeError, or a value that rests on a text that this node lacks; and whatever else
     // decoding may throw must not end the process either.
-    links_.at(peer).nextPullAt = parts_.dependencies.environment.now() + kRetryInterval;
+    auto& link = links_.at(peer);
+    link.sendWholeVector = true;  // what the peer takes for received was not
+    link.nextPullAt = parts_.dependencies.environment.now() + kRetryInterval;
     return false;
   }
   // Only now that the value, if the response brought one, is known here.
--- a/src/gossip/gossip_client.hpp
+++ b/src/gossip/gossip_client.hpp
@@ -48,7 +48,7 @@
   /// Responses that come later are dropped.
   void stop() { stopped_ = true; }
 
-  /// A pull of this node has been answered, by whomever.
+  /// A pull of this node has been answered by whomever, with all that it had.
   [[nodiscard]] bool hasPulled() const { return hasPulled_; }
   [[nodiscard]] std::size_t peerCount() const { return links_.size(); }
 
--- a/src/gossip/gossip_server.cpp
+++ b/src/gossip/gossip_server.cpp
@@ -15,6 +15,12 @@
 // With more held pulls than this a node gathers updates for longer, in proportion: each update is
 // sent to every puller.
 constexpr double kPollsAtFullRate = 12;
+// The items of one response to a node that is no control node, a hundred or two of instances: an
+// eighth of a second on a link of 2 Mbit/s. Larger responses would be given up before they are
+// whole, and a new configuration would wait behind them.
+constexpr std::size_t kMaxBatchBytes = std::size_t{32} * 1024;
+// To a pull that is not to be held: of the several that such a node has under way at once.
+constexpr std::size_t kMaxUnheldBatchBytes = std::size_t{16} * 1024;
 }  // namespace
 
 void GossipServer::handle(const GossipRequest& request, GossipReplyCallback reply) {
@@ -67,6 +73,7 @@
   poll.configTextId = request.configTextId.value_or(0);
   poll.registryDigest = request.registryDigest;
   poll.fromControlNode = request.fromControlNode;
+  poll.isHeld = request.holdTime > Duration(0);
   poll.arrivedAt = parts_.dependencies.environment.readClock();
   return poll;
 }
@@ -134,12 +141,22 @@
   const TimePoint now = parts_.dependencies.environment.now();
   const auto& theirs = progress_.vectorOf(puller);
   PullResponseWriter response;
-  const auto items = registry.itemsNewerThan(theirs, now);
+  const auto batch = nextBatch(puller, poll);
+  const auto& items = batch.items;
   const bool hasNewValue = replica.committedValue().sequence > poll.valueSequence;
-  if (!items.empty() || hasNewValue) lastUpdateSentAt_[puller] = now;
+  // The batches of one update follow each other without a pause.
+  if (!batch.isComplete && !items.empty()) {
+    lastUpdateSentAt_.erase(puller);
+  } else if (!batch.isComplete || !items.empty() || hasNewValue) {
+    lastUpdateSentAt_[puller] = now;
+  }
   if (!items.empty()) response.addItems(items);
-  const auto vectorChanges = registry.entriesAbove(theirs);
-  if (!vectorChanges.empty()) response.addVectorChanges(vectorChanges);
+  // An entry says that all updates up to it are there, or what replaced them: true with the last
+  // batch only.
+  if (batch.isComplete) {
+    const auto vectorChanges = registry.entriesAbove(theirs);
+    if (!vectorChanges.empty()) response.addVectorChanges(vectorChanges);
+  }
   // Nothing new on either side for the whole hold time, and yet the registries differ: a fault lost
   // an item, and the ranges tell where (anti-entropy).
   const bool differs = items.empty() && poll.registryDigest != registry.digest();
@@ -151,6 +168,19 @@
   poll.reply(response.finish());
 }
 
+// Control nodes get everything at once: what they hold is counted on at once, and their links are
+// wide.
+membership::ItemBatch GossipServer::nextBatch(const NodeId& puller, const PendingPoll& poll) {
+  const auto& registry = parts_.dependencies.registry;
+  const TimePoint now = parts_.dependencies.environment.now();
+  const auto& theirs = progress_.vectorOf(puller);
+  if (poll.fromControlNode) return {registry.itemsNewerThan(theirs, now), true};
+  const auto maxBytes = poll.isHeld ? kMaxBatchBytes : kMaxUnheldBatchBytes;
+  auto batch = registry.nextBatch(theirs, progress_.sentTo(puller), maxBytes, now);
+  if (batch.isComplete) progress_.endBatches(puller);
+  return batch;
+}
+
 void GossipServer::notifyUpdate() {
   if (answerScheduled_) return;
   answerScheduled_ = true;
--- a/src/gossip/gossip_server.hpp
+++ b/src/gossip/gossip_server.hpp
@@ -68,6 +68,7 @@
     std::uint64_t configTextId = 0;   ///< of the configuration text that it has; 0: none
     std::uint64_t registryDigest = 0;
     bool fromControlNode = false;
+    bool isHeld = false;  ///< may be answered later
     Environment::TimerId holdTimer = 0;
     TimePoint notBefore;  ///< ordinary updates are gathered until then
     /// By readClock(): not before the pull was sent, whatever this process was kept from.
@@ -82,6 +83,8 @@
   void onHoldTimeOver(const NodeId& puller);
   void answerDue();
   void answer(const NodeId& puller, const PendingPoll& poll, HoldResult result);
+  /// The items of the next response to a puller.
+  membership::ItemBatch nextBatch(const NodeId& puller, const PendingPoll& poll);
   [[nodiscard]] PendingPoll pollOf(const PullRequest& request, GossipReplyCallback reply) const;
   [[nodiscard]] bool lacksConfiguration(const PendingPoll& poll) const;
   [[nodiscard]] bool hasUpdateFor(const NodeId& puller, const PendingPoll& poll) const;
--- a/src/gossip/pull_messages.hpp
+++ b/src/gossip/pull_messages.hpp
@@ -85,6 +85,8 @@
   /// The committed register value, still encoded: it may rest on a text cached here.
   std::optional<nlohmann::json> value;
   StalenessReport staleness;
+  /// More items are to come: the vector entries come with the last of them.
+  [[nodiscard]] bool isPart() const { return items && !items->empty() && vectorChanges.empty(); }
 };
 
 /// Throws DecodeError. Items and value are moved out of `message`.
--- a/src/gossip/puller_progress.cpp
+++ b/src/gossip/puller_progress.cpp
@@ -10,11 +10,15 @@
 bool PullerProgress::apply(const PullRequest& request) {
   auto& vector =
       vectors_.try_emplace(request.sender, dependencies_.registry.sourceTable()).first->second;
-  if (request.wholeVector) vector.clear();
+  if (request.wholeVector) {
+    vector.clear();
+    sentTo_.erase(request.sender);  // a response may have been lost
+  }
   for (const auto& [source, counter] : request.vectorChanges) vector.set(source, counter);
   for (const auto& source : request.removedSources) vector.erase(source);
   if (vector.hash() == request.vectorHash) return true;
   vectors_.erase(request.sender);
+  sentTo_.erase(request.sender);
   return false;
 }
 
@@ -54,6 +58,7 @@
     return !keep.contains(entry.first) && !contacts_.heardWithin(entry.first, age);
   });
   std::erase_if(confirmedBy_, [&](const auto& entry) { return !vectors_.contains(entry.first); });
+  std::erase_if(sentTo_, [&](const auto& entry) { return !vectors_.contains(entry.first); });
 }
 
 }  // namespace merlingauge::gossip
--- a/src/gossip/puller_progress.hpp
+++ b/src/gossip/puller_progress.hpp
@@ -32,6 +32,11 @@
   /// How many other control nodes that stay are known to hold the update `dot`. One that shuts
   /// down, is unresponsive or has started anew since it said so may hold it no more.
   [[nodiscard]] std::size_t replicaCount(const membership::Dot& dot) const;
+  /// What batches of a response brought that its vector does not cover yet, since it claims nothing
+  /// before the last of them. Empty where no batch is outstanding.
+  membership::VersionVectorEntries& sentTo(const NodeId& puller) { return sentTo_[puller]; }
+  /// The last batch was sent.
+  void endBatches(const NodeId& puller) { sentTo_.erase(puller); }
   [[nodiscard]] bool knows(const NodeId& puller) const { return vectors_.contains(puller); }
   /// Drops pullers not heard for `age`, but for those in `keep`.
   void forgetUnheard(Duration age, const std::set<NodeId>& keep);
@@ -40,6 +45,7 @@
   const GossipDependencies& dependencies_;
   const PeerContacts& contacts_;
   std::map<NodeId, membership::VersionVector> vectors_;
+  std::map<NodeId, membership::VersionVectorEntries> sentTo_;
   /// The incarnation that confirmed the vector: a restarted node has lost what it held, so its old
   /// vector proves nothing for the new incarnation.
   std::map<NodeId, Incarnation> confirmedBy_;
--- a/src/membership/dot_index.hpp
+++ b/src/membership/dot_index.hpp
@@ -1,6 +1,7 @@
 // dot_index: what this node has seen, and which items a peer that has seen less still needs.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -55,6 +56,41 @@
           }
         });
   }
+  /// Calls `callback(const Dot&, const ItemKey&)` in the order of counters for each item whose
+  /// update this node's vector covers, but neither `seen` nor `sent`, until it returns false. False
+  /// where it did.
+  template <class Callback>
+  bool forEachUnsent(const VersionVector& seen, const VersionVectorEntries& sent,
+                     Callback callback) const {
+    bool goOn = true;
+    seen.forEachNewer(versionVector_, [&](const SourceId& source, std::uint64_t counter,
+                                          std::uint64_t seenCounter) {
+      const auto stream = streams_.find(source);
+      if (!goOn || stream == streams_.end()) return;
+      const auto sentEntry = sent.find(source);
+      const auto sentCounter = sentEntry == sent.end() ? 0 : sentEntry->second;
+      const auto& items = stream->second.items;
+      auto item = items.upper_bound(std::max(seenCounter, sentCounter));
+      for (; goOn && item != items.end() && item->first <= counter; ++item) {
+        goOn = callback(Dot{source, item->first}, item->second);
+      }
+    });
+    return goOn;
+  }
+  /// Calls `callback(const ItemKey&)` for each item whose update is beyond this node's vector,
+  /// though the vector has more of its source than `seen`.
+  template <class Callback>
+  void forEachBeyondVector(const VersionVector& seen, Callback callback) const {
+    seen.forEachNewer(versionVector_,
+                      [&](const SourceId& source, std::uint64_t counter, std::uint64_t) {
+                        const auto stream = streams_.find(source);
+                        if (stream == streams_.end()) return;
+                        const auto& items = stream->second.items;
+                        for (auto item = items.upper_bound(counter); item != items.end(); ++item) {
+                          callback(item->second);
+                        }
+                      });
+  }
   /// The entries of this node's vector that are above those of `seen`.
   [[nodiscard]] VersionVectorEntries entriesAbove(const VersionVector& seen) const;
 
--- a/src/membership/instance_registry.cpp
+++ b/src/membership/instance_registry.cpp
@@ -229,6 +229,35 @@
   return list;
 }
 
+ItemBatch InstanceRegistry::nextBatch(const VersionVector& seen, VersionVectorEntries& sent,
+                                      std::size_t maxBytes, TimePoint now) const {
+  ItemBatch batch;
+  batch.isComplete = dots_.forEachUnsent(seen, sent, [&](const Dot& dot, const ItemKey& key) {
+    if (batch.items.size() >= maxBytes) return false;
+    appendItem(key, now, batch.items);
+    sent[dot.source] = dot.counter;
+    return true;
+  });
+  if (batch.isComplete) appendBeyondVector(seen, maxBytes, now, batch);
+  if (!batch.items.empty()) batch.items += ']';
+  return batch;
+}
+
+// An item may have been replaced by one that the vector does not cover yet. Where there are many,
+// this node is itself in the midst of batches, and its vector will soon cover them.
+void InstanceRegistry::appendBeyondVector(const VersionVector& seen, std::size_t maxBytes,
+                                          TimePoint now, ItemBatch& batch) const {
+  const auto sizeBefore = batch.items.size();
+  dots_.forEachBeyondVector(seen, [&](const ItemKey& key) {
+    if (batch.items.size() < maxBytes) {
+      appendItem(key, now, batch.items);
+    } else {
+      batch.isComplete = false;
+    }
+  });
+  if (!batch.isComplete) batch.items.resize(sizeBefore);
+}
+
 std::string InstanceRegistry::itemsInRanges(RangeMask ranges, TimePoint now) const {
   std::string list;
   for (const auto& [id, info] : nodes_.nodes()) {
--- a/src/membership/instance_registry.hpp
+++ b/src/membership/instance_registry.hpp
@@ -2,6 +2,7 @@
 // what its peers know.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -28,6 +29,12 @@
 
 namespace merlingauge::membership {
 
+/// A part of the items that a peer lacks.
+struct ItemBatch {
+  std::string items;       ///< the text of a JSON list; empty where there is no item
+  bool isComplete = true;  ///< with the batches before it the peer has everything
+};
+
 /// A replicated state machine without a leader. Each instance and each node is one item, and two
 /// copies of an item are joined by keeping the one of higher precedence, so neither the order of
 /// updates nor the restart of a reporter undoes one (state-based CRDT, a join-semilattice). Each
@@ -82,6 +89,11 @@
   [[nodiscard]] bool hasNewerThan(const VersionVector& seen) const;
   /// All such items, as the text of a JSON list; empty where there is none.
   [[nodiscard]] std::string itemsNewerThan(const VersionVector& seen, TimePoint now) const;
+  /// The next batch of the items that itemsNewerThan() gives, at most `maxBytes` and one item long
+  /// unless it is the last. `sent` holds what the batches before it brought, and is brought up to
+  /// date.
+  ItemBatch nextBatch(const VersionVector& seen, VersionVectorEntries& sent, std::size_t maxBytes,
+                      TimePoint now) const;
   /// The entries of this node's vector that are above those of `seen`.
   [[nodiscard]] VersionVectorEntries entriesAbove(const VersionVector& seen) const;
   /// All items of some ranges, as the text of a JSON list.
@@ -140,6 +152,8 @@
   bool mergeInstance(InstanceUpdate update, TimePoint now);
   bool mergeNode(NodeUpdate update);
   bool refute(const NodeInfo& update);
+  void appendBeyondVector(const VersionVector& seen, std::size_t maxBytes, TimePoint now,
+                          ItemBatch& batch) const;
   void appendItem(const ItemKey& key, TimePoint now, std::string& list) const;
 
   NodeId self_;
--- a/tests/membership/instance_registry_test.cpp
+++ b/tests/membership/instance_registry_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include <chrono>
+#include <functional>
 #include <string>
 
 namespace merlingauge::membership {
@@ -45,6 +46,26 @@
     const auto list = items.empty() ? nlohmann::json::array() : nlohmann::json::parse(items);
     to.merge(list, from.entriesAbove(seen), now_);
   }
+  /// `to` pulls from `from` in batches of one item each; `afterEach` is called between two. Returns
+  /// how many batches there were.
+  int pullInBatches(const InstanceRegistry& from, InstanceRegistry& to,
+                    const std::function<void()>& afterEach) {
+    VersionVector seen(from.sourceTable());
+    const VersionVector nothing(to.sourceTable());
+    for (const auto& [source, counter] : to.entriesAbove(nothing)) seen.set(source, counter);
+    VersionVectorEntries sent;
+    const auto vectorBefore = to.versionVector().hash();
+    for (int batches = 1;; ++batches) {
+      const auto batch = from.nextBatch(seen, sent, 1, now_);
+      const auto items =
+          batch.items.empty() ? nlohmann::json::array() : nlohmann::json::parse(batch.items);
+      to.merge(items, batch.isComplete ? from.entriesAbove(seen) : VersionVectorEntries(), now_);
+      if (batch.isComplete) return batches;
+      EXPECT_EQ(items.size(), 1);
+      EXPECT_EQ(to.versionVector().hash(), vectorBefore);
+      afterEach();
+    }
+  }
   bool expire(InstanceRegistry& registry) {
     return registry.expireInstances(now_, kHeartbeatTimeout, kForgetAfter);
   }
@@ -90,6 +111,37 @@
   EXPECT_EQ(find(first_, "i1").reporter, NodeId("10.0.0.2"));
 }
 
+TEST_F(InstanceRegistryTest, BatchesBringAllItemsAndTheVectorWithTheLast) {
+  for (const auto* id : {"i1", "i2", "i3"}) first_.handleHeartbeat(heartbeat(id, 1), now_);
+  // The node itself and three instances; the last batch is the one after which nothing is left.
+  EXPECT_EQ(pullInBatches(first_, second_, [] {}), 4);
+  pull(second_, first_);
+  EXPECT_EQ(first_.digest(), second_.digest());
+  EXPECT_EQ(first_.versionVector().hash(), second_.versionVector().hash());
+}
+
+TEST_F(InstanceRegistryTest, ItemReplacedBetweenTwoBatchesIsNotMissed) {
+  for (const auto* id : {"i1", "i2", "i3"}) first_.handleHeartbeat(heartbeat(id, 1), now_);
+  // Each is replaced once by this node's own update and once by another node's, sent or not.
+  InstanceRegistry third(infoOf("10.0.0.0"), Incarnation{1});
+  std::uint64_t sequence = 1;
+  int rounds = 0;
+  pullInBatches(first_, second_, [&] {
+    if (++rounds > 2) return;
+    ++sequence;
+    third.handleHeartbeat(heartbeat("i1", sequence), now_);
+    third.deregister(InstanceId("i3"), now_);
+    pull(third, first_);
+    first_.deregister(InstanceId("i2"), now_);
+  });
+  pull(second_, first_);
+  EXPECT_EQ(first_.digest(), second_.digest());
+  EXPECT_EQ(first_.versionVector().hash(), second_.versionVector().hash());
+  EXPECT_EQ(find(second_, "i1").reporter, NodeId("10.0.0.0"));
+  EXPECT_EQ(find(second_, "i2").status, Status::gone);
+  EXPECT_EQ(find(second_, "i3").status, Status::gone);
+}
+
 TEST_F(InstanceRegistryTest, SilentInstanceIsUnresponsiveUntilItsNextHeartbeat) {
   first_.handleHeartbeat(heartbeat("i1", 1), now_);
   now_ += kHeartbeatTimeout;
--- a/tests/simulation/gossip/simulated_network.cpp
+++ b/tests/simulation/gossip/simulated_network.cpp
@@ -80,6 +80,19 @@
   clock_.at(node.busyUntil, std::move(work));
 }
 
+// Responses come in one after the other; one that was given up still takes its time.
+void SimulatedNetwork::receiveOverLink(SimulatedNode& node, std::size_t bytes,
+                                       std::function<void()> work) {
+  const double kilobytesPerSecond = number(scenario_, "link_kb_s", 0);
+  if (kilobytesPerSecond <= 0 || node.isControlNode) {
+    work();
+    return;
+  }
+  const auto transfer = fromMillis(1000 * static_cast<double>(bytes) / 1024 / kilobytesPerSecond);
+  node.linkBusyUntil = std::max(clock_.now(), node.linkBusyUntil) + transfer;
+  clock_.at(node.linkBusyUntil, std::move(work));
+}
+
 void SimulatedNetwork::deliver(SimulatedNode& from, SimulatedNode& to, const std::string& body,
                                const ResponseCallback& finish, double delay) {
   runOnProcessor(to, body.size(), [this, &from, &to, body, finish, delay] {
@@ -102,7 +115,9 @@
   runOnProcessor(to, text.size(), [this, &from, &to, text, finish] {
     clock_.after(delayMs(), [this, &from, &to, text, finish] {
       if (!arrives(to.id, from.id)) return;
-      runOnProcessor(from, text.size(), [finish, text] { finish(json::parse(text)); });
+      receiveOverLink(from, text.size(), [this, &from, text, finish] {
+        runOnProcessor(from, text.size(), [finish, text] { finish(json::parse(text)); });
+      });
     });
   });
 }
--- a/tests/simulation/gossip/simulated_network.hpp
+++ b/tests/simulation/gossip/simulated_network.hpp
@@ -48,6 +48,8 @@
   void deliverResponse(SimulatedNode& from, SimulatedNode& to, const std::string& text,
                        const ResponseCallback& finish);
   void runOnProcessor(SimulatedNode& node, std::size_t bytes, std::function<void()> work);
+  /// `link_kb_s N`: a node that is no control node receives so many kilobytes a second.
+  void receiveOverLink(SimulatedNode& node, std::size_t bytes, std::function<void()> work);
   [[nodiscard]] std::string applyFaults(const SimulatedNode& from, const std::string& response,
                                         double heldMs) const;
   [[nodiscard]] bool passes(const NodeId& from, const NodeId& to) const;
--- a/tests/simulation/gossip/simulated_node.hpp
+++ b/tests/simulation/gossip/simulated_node.hpp
@@ -39,7 +39,8 @@
   std::unique_ptr<gossip::GossipService> gossip;
 
   double startedAtMs = 0;
-  TimePoint busyUntil;  ///< the processor, with messages that came before
+  TimePoint busyUntil;      ///< the processor, with messages that came before
+  TimePoint linkBusyUntil;  ///< the link towards it, with responses that came before
   [[nodiscard]] bool isUp() const { return gossip != nullptr; }
 };
 
