--- a/tests/example/example_test.cpp
+++ b/tests/example/example_test.cpp
@@ -5,7 +5,7 @@
 #include <Poco/Net/HTTPResponse.h>
 #include <Poco/StreamCopier.h>
 #include <gtest/gtest.h>
-#include <signal.h>
+#include <signal.h>  // NOLINT(modernize-deprecated-headers): kill() is of POSIX, not of <csignal>
 #include <sys/prctl.h>
 #include <sys/wait.h>
 #include <unistd.h>
