--- a/tests/compatibility/fixture_writer.cpp
+++ b/tests/compatibility/fixture_writer.cpp
@@ -673,7 +673,7 @@
     options.seeds = seeds_;
     options.isControlNode = core;
     options.fullSyncInterval = std::chrono::milliseconds(300);
-    n.roster = std::make_unique<gossip::GossipService>(
+    n.gossipService = std::make_unique<gossip::GossipService>(
         gossip::GossipDependencies{*n.environment, *n.book, *n.replica, n.evidence},
         std::move(options), observer_);
   }
@@ -683,10 +683,10 @@
   void stop(const std::string& id) { nodes_.at(id)->up = false; }
   void hold(const std::string& id, const consensus::RegisterValue& value) {
     nodes_.at(id)->known = value;
-    nodes_.at(id)->roster->notifyUpdate();
+    nodes_.at(id)->gossipService->notifyUpdate();
   }
   void probe(const std::string& by, const std::string& whom) {
-    nodes_.at(by)->roster->probe(NodeId(whom), [](bool) {});
+    nodes_.at(by)->gossipService->probe(NodeId(whom), [](bool) {});
   }
   [[nodiscard]] TimePoint now() const { return now_; }
 
@@ -700,7 +700,7 @@
       for (auto& [id, node] : nodes_) {
         if (!node->up) continue;
         node->book->expireInstances(now_, std::chrono::hours(1), std::chrono::seconds(60));
-        node->roster->tick();
+        node->gossipService->tick();
       }
     }
   }
@@ -716,7 +716,7 @@
     consensus::StalenessBound evidence;
     std::unique_ptr<gossip::Environment> environment;
     std::unique_ptr<consensus::RegisterReplica> replica;
-    std::unique_ptr<gossip::GossipService> roster;
+    std::unique_ptr<gossip::GossipService> gossipService;
   };
 
   class Environment final : public gossip::Environment {
@@ -778,12 +778,12 @@
     timers_.emplace(std::make_pair(now_ + limit, ++lastTimer_), [finish] { finish(std::nullopt); });
     const auto it = nodes_.find(to.str());
     if (it == nodes_.end() || !it->second->up) return;
-    it->second->roster->handlePull(json::parse(body),
-                                   [this, body, finish](const std::string& said) {
-                                     collection_.offer("/news", body, 200, said, "library");
-                                     timers_.emplace(std::make_pair(now_, ++lastTimer_),
-                                                     [finish, said] { finish(json::parse(said)); });
-                                   });
+    it->second->gossipService->handlePull(
+        json::parse(body), [this, body, finish](const std::string& said) {
+          collection_.offer("/news", body, 200, said, "library");
+          timers_.emplace(std::make_pair(now_, ++lastTimer_),
+                          [finish, said] { finish(json::parse(said)); });
+        });
   }
 
   Collection& collection_;
--- a/tests/loopback/scale_run.cpp
+++ b/tests/loopback/scale_run.cpp
@@ -118,19 +118,52 @@
 
 // ---- a process full of hollow nodes: `restart N` and `tell` on its input, a line for each `tell`
 
+using RevisionTimes = std::map<std::int64_t, std::int64_t>;  // when the last node learned each
+using LightweightNodes = std::vector<std::unique_ptr<LightweightNode>>;
+
+LightweightNodeOptions lightweightNodeOptions(int i, const Sizes& sizes, RevisionTimes& learned) {
+  LightweightNodeOptions options;
+  options.id = NodeId(hollowIp(i));
+  options.zone = ZoneName(zoneName(i, sizes));
+  options.service = ServiceName(serviceName(1 + i % sizes.services));
+  for (int c = 0; c < std::min(3, sizes.cores); ++c) options.seeds.emplace_back(coreIp(c));
+  options.port = kInner;
+  options.onRevision = [&learned](std::int64_t revision) { learned[revision] = nowUs(); };
+  return options;
+}
+
+// One line of JSON: what the nodes of this process know, and what they have sent so far.
+void printReport(const LightweightNodes& nodes, const RevisionTimes& learned) {
+  std::size_t fewest = SIZE_MAX;
+  std::int64_t oldest = INT64_MAX;
+  std::uint64_t messages = 0;
+  std::uint64_t bytes = 0;
+  for (const auto& node : nodes) {
+    fewest = std::min(fewest, node->nodes());
+    oldest = std::min(oldest, node->revision());
+    messages += node->messages();
+    bytes += node->allBytes();
+  }
+  json times = json::object();
+  for (const auto& [revision, at] : learned) {
+    times[std::to_string(revision)] = at;
+  }
+  std::cout << json{{"fewest", fewest},
+                    {"oldest", oldest},
+                    {"messages", messages},
+                    {"bytes", bytes},
+                    {"learned", times}}
+                   .dump()
+            << std::endl;
+}
+
 int hollowMain(int first, int count, const Sizes& sizes) {
   event::EventLoop loop;
-  std::map<std::int64_t, std::int64_t> learned;  // when the last of them learned a revision
-  std::vector<std::unique_ptr<LightweightNode>> nodes;
+  RevisionTimes learned;
+  LightweightNodes nodes;
   for (int i = first; i < first + count; ++i) {
-    LightweightNodeOptions options;
-    options.id = NodeId(hollowIp(i));
-    options.zone = ZoneName(zoneName(i, sizes));
-    options.service = ServiceName(serviceName(1 + i % sizes.services));
-    for (int c = 0; c < std::min(3, sizes.cores); ++c) options.seeds.emplace_back(coreIp(c));
-    options.port = kInner;
-    options.onRevision = [&learned](std::int64_t revision) { learned[revision] = nowUs(); };
-    nodes.push_back(std::make_unique<LightweightNode>(loop, std::move(options)));
+    nodes.push_back(
+        std::make_unique<LightweightNode>(loop, lightweightNodeOptions(i, sizes, learned)));
   }
   std::vector<std::function<void()>> ticks(nodes.size());
   for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -141,29 +174,6 @@
     // They come one after the other, as machines do.
     loop.after(std::chrono::milliseconds(5 * i), ticks[i]);
   }
-  const auto tell = [&] {
-    std::size_t fewest = SIZE_MAX;
-    std::int64_t oldest = INT64_MAX;
-    std::uint64_t messages = 0;
-    std::uint64_t bytes = 0;
-    for (const auto& node : nodes) {
-      fewest = std::min(fewest, node->nodes());
-      oldest = std::min(oldest, node->revision());
-      messages += node->messages();
-      bytes += node->allBytes();
-    }
-    json times = json::object();
-    for (const auto& [revision, at] : learned) {
-      times[std::to_string(revision)] = at;
-    }
-    std::cout << json{{"fewest", fewest},
-                      {"oldest", oldest},
-                      {"messages", messages},
-                      {"bytes", bytes},
-                      {"learned", times}}
-                     .dump()
-              << std::endl;
-  };
   ::fcntl(0, F_SETFL, ::fcntl(0, F_GETFL) | O_NONBLOCK);
   Poco::Net::StreamSocket input(new Poco::Net::StreamSocketImpl(0));
   std::string text;
@@ -179,7 +189,7 @@
       std::string what;
       std::size_t which = 0;
       words >> what >> which;
-      if (what == "tell") tell();
+      if (what == "tell") printReport(nodes, learned);
       if (what == "restart") nodes[which % nodes.size()]->restart();
     }
   });
