--- a/src/storage/state_snapshot.cpp
+++ b/src/storage/state_snapshot.cpp
@@ -30,10 +30,11 @@
 
 // A store's map is at most 64 MB, so a state is well below it; a larger file is something else.
 constexpr std::uintmax_t kMaxSnapshotBytes = 128U << 20U;
-// A copy is good if no commit fell into it. A voter commits some times a second at the most, and a
-// copy takes milliseconds: two seconds of attempts find a gap.
-constexpr int kMaxCopyAttempts = 100;
-constexpr auto kCopyRetryPause = std::chrono::milliseconds(20);
+// A copy is good if no commit fell into it. A voter commits some times a second as a rule, but on a
+// fast disk a storm of changes may leave few gaps as long as a copy: ten seconds of attempts find
+// one.
+constexpr int kMaxCopyAttempts = 2000;
+constexpr auto kCopyRetryPause = std::chrono::milliseconds(5);
 // From this attempt on, an unchanged copy that can't be read is a damaged store. Earlier ones may
 // fall between the meta page and the commit record of a process that just opened its files.
 constexpr int kAttemptsBeforeDamaged = 3;
