--- a/src/event/file_descriptor.hpp
+++ b/src/base/file_descriptor.hpp
@@ -5,7 +5,7 @@
 
 #include <utility>
 
-namespace merlingauge::event {
+namespace merlingauge {
 
 /// Closes its descriptor at the end of its life. Movable; belongs to one thread at a time.
 class FileDescriptor {
@@ -32,4 +32,4 @@
   int descriptor_ = -1;
 };
 
-}  // namespace merlingauge::event
+}  // namespace merlingauge
--- a/src/event/event_loop.hpp
+++ b/src/event/event_loop.hpp
@@ -15,8 +15,8 @@
 #include <utility>
 #include <vector>
 
+#include "base/file_descriptor.hpp"
 #include "base/time.hpp"
-#include "event/file_descriptor.hpp"
 
 namespace merlingauge::event {
 
--- a/src/gossip/gossip_client.cpp
+++ b/src/gossip/gossip_client.cpp
@@ -164,8 +164,7 @@
   } catch (const DecodeError&) {
     onAnswered(peer, link);
     hasPulled_ = true;
-    link.sendWholeVector = true;  // what the peer takes for received was not
-    link.nextPullAt = parts_.dependencies.environment.now() + kRetryInterval;
+    pullEverythingAfter(kRetryInterval, link);
     return;
   }
   if (response.retryAfter) {
@@ -181,16 +180,19 @@
 
 void GossipClient::onNoResponse(Link& link) {
   ++link.failures;
-  link.sendWholeVector = true;
-  link.nextPullAt = parts_.dependencies.environment.now() + kRetryInterval;
+  pullEverythingAfter(kRetryInterval, link);
   select();
 }
 
 void GossipClient::onRetryAfter(Link& link, Duration wait) {
-  link.sendWholeVector = true;
   link.failures = 0;
-  link.nextPullAt =
-      parts_.dependencies.environment.now() + std::clamp(wait, Duration(0), kLongestRetryAfter);
+  pullEverythingAfter(std::clamp(wait, Duration(0), kLongestRetryAfter), link);
+}
+
+// What the peer takes for received was not: the next pull says anew what is here.
+void GossipClient::pullEverythingAfter(Duration wait, Link& link) {
+  link.sendWholeVector = true;
+  link.nextPullAt = parts_.dependencies.environment.now() + wait;
 }
 
 void GossipClient::onAnswered(const NodeId& peer, Link& link) {
@@ -206,9 +208,7 @@
   } catch (const std::exception&) {
     // A DecodeError, or a value that rests on a text that this node lacks; and whatever else
     // decoding may throw must not end the process either.
-    auto& link = links_.at(peer);
-    link.sendWholeVector = true;  // what the peer takes for received was not
-    link.nextPullAt = parts_.dependencies.environment.now() + kRetryInterval;
+    pullEverythingAfter(kRetryInterval, links_.at(peer));
     return false;
   }
   // Only now that the value, if the response brought one, is known here.
--- a/src/gossip/gossip_client.hpp
+++ b/src/gossip/gossip_client.hpp
@@ -79,6 +79,7 @@
   void onResponse(const NodeId& peer, bool near, std::optional<nlohmann::json> message);
   void onNoResponse(Link& link);
   void onRetryAfter(Link& link, Duration wait);
+  void pullEverythingAfter(Duration wait, Link& link);
   void onAnswered(const NodeId& peer, Link& link);
   bool takeIn(const NodeId& peer, const PullResponse& response);
   void merge(const NodeId& peer, const PullResponse& response);
--- a/src/storage/commit_record.cpp
+++ b/src/storage/commit_record.cpp
@@ -6,7 +6,7 @@
 #include <type_traits>
 
 #include "base/hash.hpp"
-#include "storage/file_descriptor.hpp"
+#include "storage/storage_file.hpp"
 
 namespace merlingauge::storage {
 
@@ -38,7 +38,7 @@
 
 std::vector<CommitRecord> readCommitRecords(const std::string& path) {
   std::vector<CommitRecord> records;
-  const FileDescriptor file(path, O_RDONLY);
+  const StorageFile file(path, O_RDONLY);
   if (!file.isOpen()) return records;
   for (std::size_t slot = 0; slot < kSlots; ++slot) {
     CommitRecord record;
@@ -55,7 +55,7 @@
 
 StorageResult writeCommitRecord(const std::string& path, CommitRecord record) {
   record.checksum = record.expectedChecksum();
-  const FileDescriptor file(path, O_RDWR | O_CREAT);
+  const StorageFile file(path, O_RDWR | O_CREAT);
   if (!file.isOpen() || !file.writeAt(&record, sizeof record, slotOffset(record.number)) ||
       !file.sync()) {
     return systemError(StorageOperation::writeCommitRecord);
--- a/src/storage/directory_lock.cpp
+++ b/src/storage/directory_lock.cpp
@@ -11,7 +11,7 @@
 }
 
 bool DirectoryLock::isFree(const std::string& directory) {
-  const FileDescriptor descriptor(directory, O_RDONLY | O_DIRECTORY);
+  const StorageFile descriptor(directory, O_RDONLY | O_DIRECTORY);
   if (!descriptor.isOpen()) return true;
   return ::flock(descriptor.get(), LOCK_EX | LOCK_NB) == 0;
 }
--- a/src/storage/directory_lock.hpp
+++ b/src/storage/directory_lock.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "storage/file_descriptor.hpp"
+#include "storage/storage_file.hpp"
 
 namespace merlingauge::storage {
 
@@ -19,7 +19,7 @@
   static bool isFree(const std::string& directory);
 
  private:
-  FileDescriptor directory_;
+  StorageFile directory_;
 };
 
 }  // namespace merlingauge::storage
--- a/src/storage/meta_page_repair.cpp
+++ b/src/storage/meta_page_repair.cpp
@@ -3,7 +3,7 @@
 #include <fcntl.h>
 
 #include "base/hash.hpp"
-#include "storage/file_descriptor.hpp"
+#include "storage/storage_file.hpp"
 
 namespace merlingauge::storage {
 
@@ -20,7 +20,7 @@
 }
 
 bool writeMetaPage(const std::string& dataFile, const std::string& page, std::size_t index) {
-  const FileDescriptor file(dataFile, O_RDWR);
+  const StorageFile file(dataFile, O_RDWR);
   return file.isOpen() && file.writeAt(page.data(), page.size(), index * page.size()) &&
          file.sync();
 }
@@ -28,7 +28,7 @@
 }  // namespace
 
 std::optional<MetaPages> readMetaPages(const std::string& dataFile, std::size_t pageBytes) {
-  const FileDescriptor file(dataFile, O_RDONLY);
+  const StorageFile file(dataFile, O_RDONLY);
   if (!file.isOpen()) return std::nullopt;
   MetaPages pages;
   for (std::size_t index = 0; index < kMetaPages; ++index) {
--- a/src/storage/state_database.cpp
+++ b/src/storage/state_database.cpp
@@ -9,7 +9,7 @@
 #include "base/hash.hpp"
 #include "storage/checksummed_value.hpp"
 #include "storage/commit_record.hpp"
-#include "storage/file_descriptor.hpp"
+#include "storage/storage_file.hpp"
 #include "storage/store_layout.hpp"
 
 namespace merlingauge::storage {
--- a/src/storage/state_snapshot.cpp
+++ b/src/storage/state_snapshot.cpp
@@ -16,9 +16,9 @@
 #include "base/decode_error.hpp"
 #include "consensus/acceptor_state_codec.hpp"
 #include "storage/directory_lock.hpp"
-#include "storage/file_descriptor.hpp"
 #include "storage/snapshot_codec.hpp"
 #include "storage/state_database.hpp"
+#include "storage/storage_file.hpp"
 #include "storage/store_layout.hpp"
 
 namespace merlingauge::storage {
@@ -52,7 +52,7 @@
 }
 
 bool writeAndSync(const std::string& path, const std::string& bytes) {
-  FileDescriptor file(path, O_WRONLY | O_CREAT | O_TRUNC);
+  StorageFile file(path, O_WRONLY | O_CREAT | O_TRUNC);
   if (!file.isOpen()) return false;
   const bool written = file.writeAt(bytes.data(), bytes.size(), 0) && file.sync();
   return file.close() && written;
@@ -65,8 +65,8 @@
     ::unlink(partial.c_str());
     return false;
   }
-  const FileDescriptor directory((fs::path(path).parent_path() / ".").string(),
-                                 O_RDONLY | O_DIRECTORY);
+  const StorageFile directory((fs::path(path).parent_path() / ".").string(),
+                              O_RDONLY | O_DIRECTORY);
   // One that may be written to and not read can't be flushed; the file's own bytes are.
   return !directory.isOpen() || directory.sync();
 }
